--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,7 +1,7 @@
 """What a SIP call costs the program: CPU of its loop alone, the stand-ins left out.
 
-    python -m benchmarks.calls cost [--calls 2000]      over UDP and over TCP, with a profile
-    python -m benchmarks.calls against REV              this tree and a commit in turn, as a ratio
+python -m benchmarks.calls cost [--calls 2000]      over UDP and over TCP, with a profile
+python -m benchmarks.calls against REV              this tree and a commit in turn, as a ratio
 """
 
 from __future__ import annotations
--- a/benchmarks/resolver.py
+++ b/benchmarks/resolver.py
@@ -115,6 +115,7 @@
     failing = [address for address in failing if resolver.health.all[address].failures]
     back_at, recovered = world.seconds, None
     heard = len(got)
+
     def known_well() -> bool:
         return any(not resolver.health.all[address].failures for address in failing)
 
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -1,9 +1,9 @@
 """What learning call servers costs, and what faults of name servers do: tables of docs/MEASURED-SOURCES.md.
 
-    python -m benchmarks.sources campaign [--seconds 30]    each fault in turn under load, in virtual time
-    python -m benchmarks.sources targets                    2,000 targets learnt in real time, turn by turn
-    python -m benchmarks.sources cost                       CPU a refresh, memory of the cache at its bound
-    python -m benchmarks.sources start REV                  start of the platform's process, against a commit
+python -m benchmarks.sources campaign [--seconds 30]    each fault in turn under load, in virtual time
+python -m benchmarks.sources targets                    2,000 targets learnt in real time, turn by turn
+python -m benchmarks.sources cost                       CPU a refresh, memory of the cache at its bound
+python -m benchmarks.sources start REV                  start of the platform's process, against a commit
 """
 
 from __future__ import annotations
@@ -305,7 +305,5 @@
     print(f"modules {modules['this']} ({modules[rev]} at {rev}); start {this / other:.2f} of that of {rev}")
 
 
-
-
 if __name__ == "__main__":
     main(prog_name="python -m benchmarks.sources")
--- a/reedmount/__main__.py
+++ b/reedmount/__main__.py
@@ -32,6 +32,7 @@
 
 def hear_signals(loop: Loop, node: Node, inside: socket.socket) -> None:
     """Give the signals that were caught to the node."""
+
     def ready(_: int) -> None:
         for number in inside.recv(64):
             node.signalled(number)
--- a/reedmount/core/actors.py
+++ b/reedmount/core/actors.py
@@ -170,4 +170,3 @@
     def _step(self, item: T | None) -> None:
         waiting = self._script.send(item)
         waiting.await_item(self._step)
-
--- a/reedmount/core/ports.py
+++ b/reedmount/core/ports.py
@@ -62,9 +62,7 @@
     def taken(self, offer: Offer, at: datetime) -> None:
         """A call has come."""
 
-    def final(
-        self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]
-    ) -> None:
+    def final(self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]) -> None:
         """It is refused or has failed; ``answer`` tells its caller."""
 
     def ended(self, name: str, how: str) -> None:
--- a/reedmount/dns/resolver.py
+++ b/reedmount/dns/resolver.py
@@ -318,4 +318,3 @@
     def _end(self, result: Answer | GivenUp) -> None:
         self.close()
         self._resolver.ended(self._first, result)
-
--- a/reedmount/dns/zone.py
+++ b/reedmount/dns/zone.py
@@ -97,4 +97,3 @@
                 server, Found(server, (address, record.port), transport, record.priority, record.weight)
             )
     return found
-
--- a/reedmount/fronts/lanes.py
+++ b/reedmount/fronts/lanes.py
@@ -588,9 +588,7 @@
 class CallServers:
     """The server side on the platform: it keeps an actor for each call server listed."""
 
-    def __init__(
-        self, loop: Loop, switch: Switch, terms: Terms, sockets: int = LANES * LANES
-    ) -> None:
+    def __init__(self, loop: Loop, switch: Switch, terms: Terms, sockets: int = LANES * LANES) -> None:
         self._loop, self._switch = loop, switch
         self.terms, self.sockets = terms, sockets
         # Of a release that cannot be told before the process ends: it is not confirmed, and comes again.
@@ -605,9 +603,7 @@
                 peer.post(entry)
             elif not entry.removed:
                 lanes = max(1, min(LANES, self.sockets // (len(self._peers) + 2)))
-                self._peers[entry.server] = CallServer(
-                    self._loop, self._switch, entry, self, lanes
-                )
+                self._peers[entry.server] = CallServer(self._loop, self._switch, entry, self, lanes)
             if entry.removed:
                 self._peers.pop(entry.server, None)
 
--- a/reedmount/fronts/sip_servers.py
+++ b/reedmount/fronts/sip_servers.py
@@ -208,9 +208,7 @@
 class SipServer:
     """The actor of one call server, reached over UDP or TCP."""
 
-    def __init__(
-        self, front: SipFront, entry: Listed, on_idle: Callable[[SipServer, str], None]
-    ) -> None:
+    def __init__(self, front: SipFront, entry: Listed, on_idle: Callable[[SipServer, str], None]) -> None:
         self.front, self.loop, self.entry = front, front.loop, entry
         self._on_idle = on_idle
         self.legs: dict[str, ServerLeg] = {}
@@ -223,9 +221,7 @@
     @property
     def over(self) -> bool:
         """Whether it was removed from the pool and nothing of ours is left there."""
-        return self.entry.removed and not (
-            self.legs or self.standing or self.waiting or self._actor.pending
-        )
+        return self.entry.removed and not (self.legs or self.standing or self.waiting or self._actor.pending)
 
     def ended(self, name: str) -> None:
         """An attempt or a call has come to its end here."""
--- a/reedmount/interface.py
+++ b/reedmount/interface.py
@@ -199,9 +199,7 @@
     body: bytes
 
 
-Event = (
-    ServerList | NewCall | CallStands | AttemptEnded | CallerGone | TimerFired | Reports | PeerNote
-)
+Event = ServerList | NewCall | CallStands | AttemptEnded | CallerGone | TimerFired | Reports | PeerNote
 
 
 @dataclass(frozen=True, slots=True)
--- a/reedmount/node.py
+++ b/reedmount/node.py
@@ -109,6 +109,7 @@
 
     def _wait_for_heir(self, callers: Callers, folder: Path) -> None:
         """Give the listener to a successor that asks for it, and the clients once it is ready."""
+
         def joined(heir: socket.socket) -> None:
             callers.reserve = HEIR_SOCKETS
             callers.twin.join(heir)
@@ -143,6 +144,7 @@
 
     def on_end(self, tell: Callable[[], None]) -> None:
         """Hear that the end has begun."""
+
         def changed() -> None:
             if self._lifecycle.phase is Phase.ENDING:
                 tell()
@@ -232,4 +234,3 @@
     """How many connections callers may have."""
     lanes = min(LANE_SOCKETS, config.sockets // 4)
     return config.sockets - OWN_SOCKETS - lanes - (DOOR_SOCKETS if config.control is not None else 0)
-
--- a/reedmount/pool/pool.py
+++ b/reedmount/pool/pool.py
@@ -243,9 +243,7 @@
         if claim.started is not None and claim.started > since or now - since > self.gone_for:
             self._unmark(claim.place)
 
-    def _decide(
-        self, now: datetime, place: Place, claim: Claim | None, first: bool = False
-    ) -> list[Change]:
+    def _decide(self, now: datetime, place: Place, claim: Claim | None, first: bool = False) -> list[Change]:
         """Apply the rule to one server, and say what has changed.
 
         A server that comes in or comes back counts as started now, unless the claim that brings it says
@@ -379,4 +377,3 @@
             number = (number + 1) % 2**31
         self._numbers[number] = place
         return number
-
--- a/reedmount/pool/source.py
+++ b/reedmount/pool/source.py
@@ -57,9 +57,7 @@
         """A part, new where it has not been heard of."""
         return self.parts.setdefault(name, Part())
 
-    def heard(
-        self, now: datetime, name: str, fresh_for: timedelta | None, keep_for: timedelta | None
-    ) -> int:
+    def heard(self, now: datetime, name: str, fresh_for: timedelta | None, keep_for: timedelta | None) -> int:
         """A good answer came; ``fresh_for`` is its lifetime, ``keep_for`` the bound beyond that.
 
         Returns which word of the part it is.
--- a/reedmount/pool/words.py
+++ b/reedmount/pool/words.py
@@ -39,4 +39,3 @@
         """Ages are the pool's to tell."""
         if self.word not in (Word.SERVING, Word.DRAINING, Word.GONE):
             raise ValueError(f"no source can say {self.word.value}")
-
--- a/reedmount/records/keeper.py
+++ b/reedmount/records/keeper.py
@@ -85,9 +85,7 @@
             return
         shard, held = known
         now = micros(self._loop.clock.now())
-        held = replace(
-            held, answered_us=now, ended_us=now, outcome=outcome, attempts=attempts, server=server
-        )
+        held = replace(held, answered_us=now, ended_us=now, outcome=outcome, attempts=attempts, server=server)
         self._finish(shard, held, lambda _: answer())
 
     def ended(self, name: str, how: str) -> None:
--- a/reedmount/sip/endpoint.py
+++ b/reedmount/sip/endpoint.py
@@ -80,9 +80,7 @@
         made._endpoint, made.ipv6 = endpoint, ":" in address[0]
         made._actor = Actor(endpoint.loop, made._handle)
         made.on_lost = made.on_up = None
-        made.connection = Connection.dial(
-            endpoint.loop, address, wait, made._heard, made._ended, made._sent
-        )
+        made.connection = Connection.dial(endpoint.loop, address, wait, made._heard, made._ended, made._sent)
         return made
 
     def send(self, data: bytes) -> None:
--- a/reedmount/sip/message.py
+++ b/reedmount/sip/message.py
@@ -111,9 +111,7 @@
             value = f"{value};tag={tag}"
         if name in ("via", "from", "to", "call-id", "cseq"):
             headers.append((key, value))
-    return Message(
-        status=status, reason=REASONS.get(status, "Other"), headers=[*headers, *extra], body=body
-    )
+    return Message(status=status, reason=REASONS.get(status, "Other"), headers=[*headers, *extra], body=body)
 
 
 def parse_head(head: bytes) -> Message:
--- a/reedmount/sources/hearsay.py
+++ b/reedmount/sources/hearsay.py
@@ -22,9 +22,7 @@
 class HearsayHost:
     """Joins the pool and the members. What to do about a word is decided in ``members/hearsay.py``."""
 
-    def __init__(
-        self, host: PoolHost, peers: Peers, name: str, cold: timedelta, bound: timedelta
-    ) -> None:
+    def __init__(self, host: PoolHost, peers: Peers, name: str, cold: timedelta, bound: timedelta) -> None:
         """``name``: ours among the members; ``cold``: how long a started server is; ``bound``: of a hold."""
         self._loop, self._host, self._peers, self._name = host.loop, host, peers, name
         self._hearsay = Hearsay(peers.protocol.rumours.knowledge, cold, bound)
--- a/reedmount/sources/host.py
+++ b/reedmount/sources/host.py
@@ -39,9 +39,7 @@
 class PoolHost:
     """The owner of the pool and its bands. Sources speak to it, in whatever order."""
 
-    def __init__(
-        self, loop: Loop, switch: Switch, settings: PoolSettings, sources: Sequence[str]
-    ) -> None:
+    def __init__(self, loop: Loop, switch: Switch, settings: PoolSettings, sources: Sequence[str]) -> None:
         self.loop, self._switch, self.settings = loop, switch, settings
         now = loop.clock.now()
         self.pool = Pool(
@@ -306,4 +304,3 @@
 
 def _seconds(span: timedelta) -> float:
     return round(max(span, ZERO).total_seconds(), 3)
-
--- a/reedmount/sources/srv.py
+++ b/reedmount/sources/srv.py
@@ -128,6 +128,7 @@
         self, watch: Watch, hear: Callable[[Watch, Answer | GivenUp], None]
     ) -> Callable[[Answer | GivenUp], None]:
         """Hear an answer only as long as the watch is still wanted."""
+
         def heard(answer: Answer | GivenUp) -> None:
             if self._watches.get(watch.name) is watch:
                 hear(watch, answer)
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -41,9 +41,7 @@
 
     name = "ADDRESS:PORT"
 
-    def convert(
-        self, value: object, param: click.Parameter | None, ctx: click.Context | None
-    ) -> Address:
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
         """Read and check it."""
         try:
             place = address_of(str(value))
--- a/standins/board.py
+++ b/standins/board.py
@@ -1,8 +1,8 @@
 """A notice board: numbered events of the pool list, told by long polls over HTTP/1.1.
 
-    board = NoticeBoard()
-    board.say(("127.0.0.2", 5070), "SERVING")
-    board.pump(now)
+board = NoticeBoard()
+board.say(("127.0.0.2", 5070), "SERVING")
+board.pump(now)
 """
 
 from __future__ import annotations
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,9 +1,9 @@
 """Callers over UDP: calls begin at instants drawn beforehand, whatever became of those before (open loop).
 
-    callers = Callers(to, rate=20.0, seed=1)
-    callers.start(now, timedelta(seconds=10))
-    callers.pump(now)
-    callers.calls["c1"].final, callers.faults()
+callers = Callers(to, rate=20.0, seed=1)
+callers.start(now, timedelta(seconds=10))
+callers.pump(now)
+callers.calls["c1"].final, callers.faults()
 """
 
 from __future__ import annotations
@@ -183,8 +183,10 @@
             if message.status < 300 and contact:
                 call.target = uri_of(contact)
                 self._later(now + self.hold, lambda _: self._release(call))
-        if not call.finals or call.finals[-1] != message.status or parameter(call.to, "tag") != parameter(
-            message.need("To"), "tag"
+        if (
+            not call.finals
+            or call.finals[-1] != message.status
+            or parameter(call.to, "tag") != parameter(message.need("To"), "tag")
         ):
             call.finals.append(message.status)
         ack = self._request(call, "ACK", 1)
--- a/standins/callserver.py
+++ b/standins/callserver.py
@@ -1,9 +1,9 @@
 """A SIP call server over UDP or TCP that does its work one set-up after another and counts what it is sent.
 
-    server = CallServer(work=timedelta(milliseconds=50))     # 20 set-ups a second, no more
-    server.state = "silent"                                  # or "serving", "busy", "cold"
-    server.pump(now)
-    server.invites                                           # when each new set-up came
+server = CallServer(work=timedelta(milliseconds=50))     # 20 set-ups a second, no more
+server.state = "silent"                                  # or "serving", "busy", "cold"
+server.pump(now)
+server.invites                                           # when each new set-up came
 """
 
 from __future__ import annotations
--- a/standins/faults/rig.py
+++ b/standins/faults/rig.py
@@ -1,11 +1,11 @@
 """A group of real processes with the net between them, callers and call servers round them, and the history.
 
-    with Rig(folder, members=8, seed=1) as rig:
-        rig.start()
-        rig.until(rig.agreed, 10)
-        rig.net.cut(["n0"], ["n1", "n2"])
-        rig.run(5)
-        rig.net.heal()
+with Rig(folder, members=8, seed=1) as rig:
+    rig.start()
+    rig.until(rig.agreed, 10)
+    rig.net.cut(["n0"], ["n1", "n2"])
+    rig.run(5)
+    rig.net.heal()
 """
 
 from __future__ import annotations
--- a/standins/fleet/callers.py
+++ b/standins/fleet/callers.py
@@ -104,9 +104,7 @@
     def _spread(self) -> list[float]:
         """Shares of first choices, near what each call server can do."""
         spread = sigma(self._fleet.day.callers.favours) / 2
-        return [
-            server.speed * self._rng.lognormvariate(0, spread) for server in self._fleet.servers.values()
-        ]
+        return [server.speed * self._rng.lognormvariate(0, spread) for server in self._fleet.servers.values()]
 
     def drift(self) -> None:
         """Where calls go moves on."""
--- a/standins/fleet/processor.py
+++ b/standins/fleet/processor.py
@@ -180,6 +180,7 @@
 
     def _repeat(self, gap_s: float) -> None:
         """It is sent again while it waits, at doubling gaps; each is work and comes to nothing."""
+
         def again() -> None:
             server, job = self._server, self._job
             if self.over or server.down or job is None or job.begun or job.dropped:
--- a/standins/gossip/net.py
+++ b/standins/gossip/net.py
@@ -257,6 +257,4 @@
     def standings(self, names: Iterable[str] | None = None) -> set[Standing]:
         """The standings of these, or of all that run."""
         wanted = set(self.nodes) if names is None else set(names)
-        return {
-            node.protocol.standing for node in self.running() if node.name in wanted and node.protocol
-        }
+        return {node.protocol.standing for node in self.running() if node.name in wanted and node.protocol}
--- a/standins/nameserver.py
+++ b/standins/nameserver.py
@@ -155,9 +155,7 @@
 
     # --- the plan ---
 
-    def plan(
-        self, name: str, times: int | None = None, only: str | None = None, **words: float
-    ) -> None:
+    def plan(self, name: str, times: int | None = None, only: str | None = None, **words: float) -> None:
         """From now on answer like this; ``good`` ends all faults."""
         if name not in FAULTS:
             raise ValueError(f"no fault is called {name!r}; there are {', '.join(FAULTS)}")
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,8 +1,8 @@
 """A whole installation in virtual time: name servers, a notice board, call servers, callers, and the program.
 
-    site = Site(folder, servers=5)
-    site.callers(rate=72.0).start(site.now, timedelta(seconds=10))
-    site.run(timedelta(seconds=10))
+site = Site(folder, servers=5)
+site.callers(rate=72.0).start(site.now, timedelta(seconds=10))
+site.run(timedelta(seconds=10))
 """
 
 from __future__ import annotations
--- a/standins/soak/board.py
+++ b/standins/soak/board.py
@@ -51,6 +51,7 @@
 
     async def open_for(self, node: str) -> str:
         """Listen at one more address for a border controller."""
+
         async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve(node, reader, writer)
 
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -62,9 +62,7 @@
 class Run:
     """All parts of one run."""
 
-    def __init__(
-        self, seed: int, folder: Path, plan: Plan, nodes: int = NODES, crowd: bool = False
-    ) -> None:
+    def __init__(self, seed: int, folder: Path, plan: Plan, nodes: int = NODES, crowd: bool = False) -> None:
         self.seed, self._folder, self._plan = seed, folder, plan
         self._chance = random.Random(f"run {seed}")
         self.history = History()
--- a/tests/support.py
+++ b/tests/support.py
@@ -38,9 +38,7 @@
     return i.ServerEntry(server, {"a": 1, "b": 2, "c": 3}.get(server, 9), state, started_us)
 
 
-def pool(
-    *entries: i.ServerEntry, version: int = 1, kind: i.ListKind = i.ListKind.WHOLE
-) -> i.ServerList:
+def pool(*entries: i.ServerEntry, version: int = 1, kind: i.ListKind = i.ListKind.WHOLE) -> i.ServerList:
     return i.ServerList(version, kind, tuple(entries))
 
 
--- a/tests/test_cold_guard.py
+++ b/tests/test_cold_guard.py
@@ -62,8 +62,11 @@
         again.feed(pool(*restarted, *(server(n) for n in range(len(COLD), servers)), kind=i.ListKind.SAVED))
         bench = again
     if case != "burst":
-        bench.feed(pool(*(server(n, gone=True) for n in range(len(COLD), servers)), version=3,
-                        kind=i.ListKind.CHANGES))
+        bench.feed(
+            pool(
+                *(server(n, gone=True) for n in range(len(COLD), servers)), version=3, kind=i.ListKind.CHANGES
+            )
+        )
     for step in range(9):
         for turn in range(4 if step == 0 else 1):
             bench.call(first=COLD[(number + turn) % len(COLD)], left_us=1_500 * MS)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -225,12 +225,15 @@
 def test_a_release_by_a_server_where_it_was_given_up_ends_the_call_at_the_other_too() -> None:
     """The caller was told, and the server that had the call kept its line until the end."""
     stage = Platform("server", "second")
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         second send BYE c1 reason=Q.850;cause=41
         second expect 200 c1
         caller expect BYE c1 reason=Q.850;cause=41
         server expect BYE c1 reason=Q.850;cause=41
-    """)
+    """
+    )
     assert stage.switch.quiet
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -23,9 +23,7 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_hard_case_holds_with_real_processes(
-    played: dict[str, subprocess.Popen[str]], name: str
-) -> None:
+def test_a_hard_case_holds_with_real_processes(played: dict[str, subprocess.Popen[str]], name: str) -> None:
     said, _ = played[name].communicate(timeout=LONGEST_S)
     assert played[name].returncode == 0, said
     figures = json.loads(said.splitlines()[-1])
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -54,7 +54,7 @@
             for number, method in enumerate(METHODS)]  # fmt: skip
     via = f"SIP/2.0/{kind.upper()} {HOST}:{peer.port};branch=z9hG4bKx;rport, SIP/2.0/UDP [::1]:5;branch=z9"
     response = (
-        f"SIP/2.0 200 OK\r\nv: {via}\r\nf: <sip:a@b>;tag=1\r\nt: \"x, y\" <sip:a@b>;tag=2\r\ni: f1\r\n"
+        f'SIP/2.0 200 OK\r\nv: {via}\r\nf: <sip:a@b>;tag=1\r\nt: "x, y" <sip:a@b>;tag=2\r\ni: f1\r\n'
         f"CSeq: 1 INVITE\r\nm: <sip:s@{HOST}:{peer.port}>\r\nRecord-Route: <sip:p;lr>\r\nl: 0\r\n\r\n"
     )
     return [*made, response.encode()]
@@ -135,9 +135,11 @@
     stage = Sip()
     views: dict[str, View] = {"/v": lambda query: dict(query)}
     door = Door(stage.loop, (HOST, 0), Lifecycle(stage.time.clock), lambda: {}, views)
-    seeds = [b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n",
-             b"GET /v?after=3&b=%ff HTTP/1.1\r\nHost: x\r\n\r\n",
-             b"POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\nHost: x\r\n\r\nab"]
+    seeds = [
+        b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n",
+        b"GET /v?after=3&b=%ff HTTP/1.1\r\nHost: x\r\n\r\n",
+        b"POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\nHost: x\r\n\r\nab",
+    ]
     for wire in mutated(random.Random(2), seeds, 1000):
         with socket.create_connection(door.address) as sock:
             sock.sendall(wire)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -147,10 +147,13 @@
     server = stage.peers["server"]
     dead = next(iter(server.rings))
     fail_tests_on(server, dead)
-    stage.play(TWO_MORE + """
+    stage.play(
+        TWO_MORE
+        + """
         server send 200 INVITE t
         server send 200 INVITE u
-    """)
+    """
+    )
     assert len(server.rings) == 2
     stage.play("wait 4000")
     server.inbox.clear()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -138,6 +138,7 @@
 
 def test_whoever_calls_another_dead_has_asked_it_just_before() -> None:
     """A refutation that is lost on all ways to one member made that one call a live member dead."""
+
     def suspected() -> tuple[Suspects, Dues, Outbox, list[datetime]]:
         view, dues, died = View("n0", frozenset(), 600 * S), Dues(), list[datetime]()
         for name in ("n1", "n2", "n3"):
@@ -582,9 +583,7 @@
         assert group.run(120, lambda: group.agreed() or not group.running()) or not group.running()
 
 
-Chaos.TestCase.settings = settings(
-    max_examples=25, stateful_step_count=12, deadline=None, derandomize=True
-)
+Chaos.TestCase.settings = settings(max_examples=25, stateful_step_count=12, deadline=None, derandomize=True)
 TestChaos = Chaos.TestCase
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -75,7 +75,9 @@
 
 
 def test_a_call_is_set_up_and_released_by_its_server(stage: Platform) -> None:
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         server send BYE c1 reason=Q.850;cause=16
         server expect 200 c1
         caller expect BYE c1 reason=Q.850;cause=16
@@ -83,7 +85,8 @@
         server send BYE c1 reason=Q.850;cause=16
         server expect 200 c1
         caller expect nothing
-    """)
+    """
+    )
     assert stage.switch.quiet
 
 
@@ -106,17 +109,22 @@
 
 
 def test_a_release_by_the_caller_comes_on_another_connection(stage: Platform) -> None:
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         caller close
         other send BYE c1 reason=Q.850;cause=16
         other expect 200 c1
         server expect BYE c1 reason=*
-    """)
+    """
+    )
 
 
 def test_a_release_waits_for_the_next_connection(stage: Platform) -> None:
     """The caller's only connection had been closed: the release was lost with it."""
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         caller close
         wait 100
         server send BYE c1 reason=Q.850;cause=41
@@ -125,17 +133,22 @@
         other expect 200 t
         other send INVITE c2 x-cos=small x-timer-ms=2000
         other expect BYE c1 reason=Q.850;cause=41
-    """)
+    """
+    )
 
 
 def test_a_release_that_was_not_heard_goes_another_way(stage: Platform) -> None:
     """It was written into a connection that its caller was closing at that moment."""
-    stage.play(ANOTHER + STANDS + """
+    stage.play(
+        ANOTHER
+        + STANDS
+        + """
         server send BYE c1 reason=Q.850;cause=16
         caller expect BYE c1
         caller close
         other expect BYE c1
-    """)
+    """
+    )
 
 
 def test_a_release_from_before_a_restart_is_relayed(stage: Platform) -> None:
@@ -433,7 +446,9 @@
     stage = Platform("server")
     stage.callers.most = 2
     stage.peer("late", "thin", stage.callers.address)
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         other send OPTIONS t
         other expect 200 t
         late send OPTIONS t
@@ -445,7 +460,8 @@
         server expect 200 c1
         wait 50
         late expect nothing
-    """)
+    """
+    )
 
 
 def test_servers_that_tell_their_lines_in_one_turn_cost_the_module_one_event() -> None:
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -77,7 +77,9 @@
 def test_a_connection_used_no_more_still_hears_the_releases_of_its_calls() -> None:
     """It was closed 1.5 s after an answer had been overtaken: a release on its way there was lost."""
     stage = Platform("server", max_attempts=1)
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         wait 10
         caller send INVITE c2 x-cos=small x-timer-ms=400
         server expect INVITE c2
@@ -91,7 +93,8 @@
         caller expect BYE c1
         wait 1600
         server expect CLOSED
-    """)
+    """
+    )
 
 
 def test_a_reset_connection_is_followed_by_another_on_which_releases_come_again() -> None:
@@ -186,14 +189,17 @@
 def test_connections_that_say_or_get_nothing_are_closed_and_those_with_calls_are_kept() -> None:
     """Hundreds of silent connections held the descriptors that callers need, and got no end in time."""
     stage = Platform("server")
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         server send BYE c1
         server expect 200 c1
         caller expect BYE c1
         caller send 200 BYE
         other send OPTIONS t
         other expect 200 t
-    """)
+    """
+    )
     silent, half, unanswered = (stage.peer(name, "thin", stage.callers.address) for name in ("s", "h", "u"))
     silent.write(b"")
     half.write(b"INVITE sip:0")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -141,8 +141,13 @@
             bench.stands(bench.call(first=turn % len(names)), 20 * MS)
             bench.run_for(per_proxy_us)
         bench.now = T0 + 12 * S
-        bench.feed(pool(i.ServerEntry("cold", 99, i.ServerState.SERVING, bench.now), version=2,
-                        kind=i.ListKind.CHANGES))
+        bench.feed(
+            pool(
+                i.ServerEntry("cold", 99, i.ServerState.SERVING, bench.now),
+                version=2,
+                kind=i.ListKind.CHANGES,
+            )
+        )
         for _ in range(3 * S // per_proxy_us):
             for _ in range(3):
                 call = bench.call(first=99)
--- a/tests/test_seat.py
+++ b/tests/test_seat.py
@@ -36,6 +36,7 @@
 
 def _lives(seen: list[str]) -> Callable[[Change | Stood], None]:
     """Keep what becomes of the other one, with its life."""
+
     def hear(change: Change | Stood) -> None:
         if isinstance(change, Change) and change.new is not None:
             text = f"{change.new.state.name.lower()} {change.new.life}"
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -76,17 +76,22 @@
 @pytest.mark.parametrize("client", ["phone", "desk"])
 def test_a_call_is_set_up_and_released_from_either_side(client: str, kind: str) -> None:
     stage = Sip("server", kind=kind)
-    stage.play(call(client, "server") + f"""
+    stage.play(
+        call(client, "server")
+        + f"""
         {client} send BYE c1
         {client} expect 200 c1
         server expect BYE
         server send 200 BYE
-    """ + call(client, "server", "c2") + f"""
+    """
+        + call(client, "server", "c2")
+        + f"""
         server send BYE @ reason=Q.850;cause=16
         server expect 200
         {client} expect BYE c2 reason=Q.850;cause=16
         {client} send 200 BYE
-    """)
+    """
+    )
     assert stage.switch.quiet and not stage.front.legs and not stage.front.server_legs
 
 
@@ -552,6 +557,7 @@
     assert isinstance(side, SipServers)
     posted: list[str] = []
     for name, peer in side._peers.items():
+
         def post(item: object, name: str = name, plain: Callable[[Any], None] = peer.post) -> None:
             posted.append(f"{name} {type(item).__name__}")
             plain(item)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -130,9 +130,7 @@
     assert site.serving() == known - {site.servers[0].address}
 
 
-def test_all_name_servers_dead_at_the_start(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_all_name_servers_dead_at_the_start(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     """It starts, says so, serves from the list, and takes what is new an hour later for cold."""
     SAID.clear()  # earlier tests may have said this kind of line too often
     site = Site(tmp_path, dead=True, cold_s=14.0)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -45,11 +45,14 @@
     stage = Platform("server")
     out = io.StringIO()
     stage.loop.trace._out = out
-    stage.play(STANDS + """
+    stage.play(
+        STANDS
+        + """
         server send BYE c1 reason=Q.850;cause=16
         server expect 200 c1
         caller expect BYE c1
-    """)
+    """
+    )
     stage.wait(timedelta(milliseconds=10))
     said = [line.partition("event=")[2] for line in out.getvalue().splitlines() if digits("c1") in line]
     assert [line.split()[0] for line in said] == ["call.stands", "call.released", "release.sent"]
