--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -21,13 +21,13 @@
 import click
 
 from reedmount.core.clock import Clock
+from reedmount.members.quorum import Roster
 from reedmount.members.settings import Timing
-from reedmount.members.standing import Roster
 from reedmount.net.loop import Loop
-from reedmount.peers.copies import CopiesHost
-from reedmount.peers.host import Peers
+from reedmount.peers.membership import Peers
+from reedmount.peers.replication import CopiesHost
 from reedmount.peers.settings import PeerSettings
-from reedmount.replicas.words import Phase
+from reedmount.replicas.messages import Phase
 from reedmount.store.disk import RealDisk
 from reedmount.store.log import Log
 from reedmount.store.writer import Writer
--- a/benchmarks/resolver.py
+++ b/benchmarks/resolver.py
@@ -22,7 +22,7 @@
 import dns.rdatatype
 
 from reedmount.dns.answers import Answer
-from reedmount.dns.asking import GivenUp
+from reedmount.dns.query import GivenUp
 from reedmount.dns.reader import Question
 from reedmount.dns.resolver import Resolver, ResolverSettings
 from standins.nameserver import NameServer
--- a/reedmount/__main__.py
+++ b/reedmount/__main__.py
@@ -51,8 +51,8 @@
 
 def _join_peers(loop: Loop, node: Node) -> None:
     """Be a member among the platform's peers, where it names any; without the flag none of it is imported."""
+    from reedmount.peers.member_handover import Seat
     from reedmount.peers.platform import read_peers
-    from reedmount.peers.seat import Seat
 
     settings = read_peers(os.environ)
     if settings is not None:
--- a/reedmount/core/lifecycle.py
+++ b/reedmount/core/lifecycle.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from reedmount.core.clock import Clock
-from reedmount.core.departure import Departure
+from reedmount.core.shutdown import Departure
 from reedmount.core.trace import Trace
 
 
--- a/reedmount/dns/resolver.py
+++ b/reedmount/dns/resolver.py
@@ -14,9 +14,9 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS
 from reedmount.dns.answers import Answer, Fault, Onwards, meaning
-from reedmount.dns.asking import Asking, GivenUp, Patience, Pause, Try
 from reedmount.dns.cache import Bounds, Cache
 from reedmount.dns.health import NameServers, Over
+from reedmount.dns.query import Asking, GivenUp, Patience, Pause, Try
 from reedmount.dns.reader import Question, ReadError, Reply, head, query, read
 from reedmount.net.connection import Address, Connection, End, family_of
 from reedmount.net.loop import READ, Loop
--- a/reedmount/dns/watch.py
+++ b/reedmount/dns/srv_lookup.py
@@ -17,7 +17,7 @@
 from reedmount.dns.answers import Answer
 from reedmount.dns.cache import Bounds
 from reedmount.dns.reader import Question, Target
-from reedmount.pool.words import Claim, Place
+from reedmount.pool.claims import Claim, Place
 
 SLICE = 128  # targets between two looks at the rest of the program
 AHEAD = 0.9  # of a lifetime: then it is asked again, so that it need not lapse
--- a/reedmount/fronts/lanes.py
+++ b/reedmount/fronts/call_servers.py
@@ -12,9 +12,9 @@
 from reedmount.core.clock import ZERO, whole_millis
 from reedmount.core.ports import CUT, CancelSetup, Listed, Release, Setup
 from reedmount.core.switch import NO_REPORT, Switch
-from reedmount.fronts.lane import Attempt, Data, Down, Lane, Outgoing, Terms, Up
-from reedmount.fronts.standing import StandingCalls
-from reedmount.fronts.thin import CAUSES, ID, OUTCOMES, bye, cause_of, plain, report_of, sound, test
+from reedmount.fronts.established_calls import StandingCalls
+from reedmount.fronts.server_connection import Attempt, Data, Down, Lane, Outgoing, Terms, Up
+from reedmount.fronts.thin_protocol import CAUSES, ID, OUTCOMES, bye, cause_of, plain, report_of, sound, test
 from reedmount.net.connection import Address, End
 from reedmount.net.loop import Loop
 from reedmount.sip.framing import next_message
--- a/reedmount/fronts/link.py
+++ b/reedmount/fronts/client_connection.py
@@ -12,9 +12,9 @@
 from reedmount.core.actors import Actor
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import whole_millis
-from reedmount.core.departure import Departure
 from reedmount.core.ports import NORMAL, Progress
-from reedmount.fronts.thin import bye, cause_of, name_of, offer_of
+from reedmount.core.shutdown import Departure
+from reedmount.fronts.thin_protocol import bye, cause_of, name_of, offer_of
 from reedmount.net.connection import Connection, End
 from reedmount.sip.framing import next_frame
 from reedmount.sip.message import Message, SipError, parse_head, response
--- a/reedmount/fronts/standing.py
+++ b/reedmount/fronts/established_calls.py
@@ -14,7 +14,7 @@
 
 from reedmount import interface as i
 from reedmount.core.liveness import DEAD, LANE_WAIT, Liveness
-from reedmount.fronts.lane import Lane
+from reedmount.fronts.server_connection import Lane
 from reedmount.net.loop import Loop
 
 LOOK_EVERY = timedelta(milliseconds=250)
--- a/reedmount/fronts/platform.py
+++ b/reedmount/fronts/platform.py
@@ -10,8 +10,8 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.core.lifecycle import Need, Phase
 from reedmount.core.switch import Switch
-from reedmount.fronts.link import SETTLED, Claim, Link
-from reedmount.fronts.twin import TELL_EVERY, Twin, Word
+from reedmount.fronts.client_connection import SETTLED, Claim, Link
+from reedmount.fronts.handover import TELL_EVERY, Twin, Word
 from reedmount.net.connection import Address, Listener, bind
 from reedmount.net.loop import Loop
 
--- a/reedmount/fronts/sip.py
+++ b/reedmount/fronts/sip.py
@@ -13,7 +13,7 @@
 from reedmount.core.lifecycle import Need
 from reedmount.core.ports import NORMAL, Offer, Progress, Setup
 from reedmount.core.switch import Switch
-from reedmount.fronts.thin import cause_of
+from reedmount.fronts.thin_protocol import cause_of
 from reedmount.net.connection import Address
 from reedmount.net.loop import Loop
 from reedmount.sip import dialog as dialogs
--- a/reedmount/members/repair.py
+++ b/reedmount/members/anti_entropy.py
@@ -5,9 +5,9 @@
 import random
 
 from reedmount.core.checks import COUNTERS
+from reedmount.members.dissemination import Spread
 from reedmount.members.outbox import Outbox
 from reedmount.members.record import Record
-from reedmount.members.spread import Spread
 from reedmount.members.view import View
 from reedmount.members.wire import Kind, Message, pack_buckets, unpack_buckets
 
--- a/reedmount/members/rumours.py
+++ b/reedmount/members/observation_gossip.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from datetime import datetime
 
+from reedmount.members.dissemination import Spread
 from reedmount.members.knowledge import Fact, Heard, Knowledge
-from reedmount.members.spread import Spread
 
 ROOM = 8  # facts that could have room in a datagram
 
--- a/reedmount/members/outbox.py
+++ b/reedmount/members/outbox.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from reedmount.core.checks import COUNTERS
+from reedmount.members.dissemination import Spread
 from reedmount.members.knowledge import Fact
+from reedmount.members.quorum import Standing
 from reedmount.members.record import Record, State
-from reedmount.members.spread import Spread
-from reedmount.members.standing import Standing
 from reedmount.members.view import Change, View
 from reedmount.members.wire import Kind, Message, write, write_facts
 from reedmount.net.connection import Address
--- a/reedmount/members/prober.py
+++ b/reedmount/members/prober.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from reedmount.members.dues import Due
+from reedmount.members.timer_queue import Due
 from reedmount.members.view import View
 
 RELAYED_MOST = 256  # probes that we carry out for others at once; more are not begun
--- a/reedmount/members/protocol.py
+++ b/reedmount/members/protocol.py
@@ -14,19 +14,19 @@
 from msgspec.structs import replace
 
 from reedmount.core.checks import COUNTERS
+from reedmount.members.anti_entropy import Repair
 from reedmount.members.damping import Damping
-from reedmount.members.dues import Dues
+from reedmount.members.dissemination import Spread
 from reedmount.members.health import LocalHealth
 from reedmount.members.knowledge import Fact
+from reedmount.members.observation_gossip import Rumours
 from reedmount.members.outbox import PAGES, Outbox, Output, Stood, Told
 from reedmount.members.prober import RELAYED_MOST, Probe, Relayed, Round
+from reedmount.members.quorum import Count, Roster, Standing
 from reedmount.members.record import WORD, Record, State
-from reedmount.members.repair import Repair
-from reedmount.members.rumours import Rumours
 from reedmount.members.settings import Timing
-from reedmount.members.spread import Spread
-from reedmount.members.standing import Count, Roster, Standing
 from reedmount.members.suspects import AT_LAST, Suspects
+from reedmount.members.timer_queue import Dues
 from reedmount.members.view import Change, View
 from reedmount.members.wire import Kind, Message, WireError, group_of, read
 from reedmount.net.connection import Address
--- a/reedmount/members/suspects.py
+++ b/reedmount/members/suspects.py
@@ -6,11 +6,11 @@
 from datetime import datetime, timedelta
 
 from reedmount.core.checks import COUNTERS
-from reedmount.members.dues import Dues
 from reedmount.members.outbox import Outbox
 from reedmount.members.record import Record
 from reedmount.members.settings import Timing
 from reedmount.members.suspicion import Suspicion
+from reedmount.members.timer_queue import Dues
 from reedmount.members.view import View
 from reedmount.members.wire import Kind
 
--- a/reedmount/members/suspicion.py
+++ b/reedmount/members/suspicion.py
@@ -5,7 +5,7 @@
 import math
 from datetime import datetime, timedelta
 
-from reedmount.members.dues import Due
+from reedmount.members.timer_queue import Due
 
 
 class Suspicion:
--- a/reedmount/node.py
+++ b/reedmount/node.py
@@ -12,15 +12,15 @@
 from reedmount.config import ConfigError, Platform
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import span
-from reedmount.core.departure import earliest_kill
 from reedmount.core.lifecycle import Need, Phase
+from reedmount.core.shutdown import earliest_kill
 from reedmount.core.switch import Switch
 from reedmount.fronts.admin import DOOR_SOCKETS, Door, View
 from reedmount.fronts.board import Board, Pool
-from reedmount.fronts.lane import Terms
-from reedmount.fronts.lanes import CallServers
+from reedmount.fronts.call_servers import CallServers
+from reedmount.fronts.handover import Heirs, Word, ask
 from reedmount.fronts.platform import Callers
-from reedmount.fronts.twin import Heirs, Word, ask
+from reedmount.fronts.server_connection import Terms
 from reedmount.net.connection import Address, text_of
 from reedmount.net.loop import Loop
 
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -28,16 +28,16 @@
 from reedmount.net.loop import Loop
 from reedmount.node import Node
 from reedmount.operator_file import Operator
-from reedmount.sources.host import PoolHost
 from reedmount.sources.lists import BOARD, FIXED, ZONE, BoardSource, ZoneSource, tell_fixed
+from reedmount.sources.pool_host import PoolHost
 from reedmount.sources.srv import NAME as SRV
 from reedmount.sources.srv import SrvSource
 
 if TYPE_CHECKING:
-    from reedmount.peers.copies import CopiesHost
-    from reedmount.peers.host import Peers
-    from reedmount.records.keeper import Keeper
-    from reedmount.sources.hearsay import HearsayHost
+    from reedmount.peers.membership import Peers
+    from reedmount.peers.replication import CopiesHost
+    from reedmount.records.call_records import Keeper
+    from reedmount.sources.member_reports import HearsayHost
     from reedmount.store.disk import Disk
     from reedmount.store.log import Log
     from reedmount.store.writer import Writer
@@ -193,13 +193,13 @@
     """Be a member of the group, where the file names one; at our end say so: nobody has to find out."""
     if config.members is None:
         return None
-    from reedmount.peers.host import Peers
+    from reedmount.peers.membership import Peers
 
     peers = Peers(loop, config.members)
     log(f"member {config.members.name} of {config.members.group} at {text_of(peers.address)}")
     node.on_end(peers.leave)
     if config.members.srv is not None:
-        from reedmount.peers.ways import WaysIn
+        from reedmount.peers.seed_discovery import WaysIn
 
         peers.ways = WaysIn(loop, peers, config.members.srv, random.Random(os.urandom(8)))
     return peers
@@ -211,8 +211,8 @@
     """Hold what is promised of calls for others, and others' for them, where the file says so."""
     if peers is None or config.members is None or config.replicas is None:
         return None
-    from reedmount.peers.copies import CopiesHost
-    from reedmount.records.keeper import Keeper
+    from reedmount.peers.replication import CopiesHost
+    from reedmount.records.call_records import Keeper
     from reedmount.store.faulty import disk_of
     from reedmount.store.frame import StoreError
     from reedmount.store.log import Log
@@ -248,7 +248,7 @@
     """Tell others what our sources say of call servers; be careful with those that others saw leave."""
     if peers is None or config.members is None or not config.members.hearsay:
         return None
-    from reedmount.sources.hearsay import HearsayHost
+    from reedmount.sources.member_reports import HearsayHost
 
     cold = span(config.settings.cold_us)
     return HearsayHost(host, peers, config.members.name, cold, config.members.hearsay)
@@ -258,7 +258,7 @@
     """Settings that share the call servers among as many as the view has, where it is sure."""
     if peers is None:
         return settings
-    from reedmount.members.shares import sharers
+    from reedmount.members.capacity_sharing import sharers
 
     return replace(settings, proxies=sharers(settings.proxies, peers.alive, peers.standing.may_decide))
 
--- a/reedmount/operator_file.py
+++ b/reedmount/operator_file.py
@@ -23,10 +23,10 @@
 from reedmount.fronts.sip import SipSettings
 from reedmount.net.connection import Address
 from reedmount.pool.bands import BandSettings
+from reedmount.pool.claims import Claim
 from reedmount.pool.pool import Past
-from reedmount.pool.words import Claim
 from reedmount.sip.transaction import Timers
-from reedmount.sources.host import PoolSettings
+from reedmount.sources.pool_host import PoolSettings
 from reedmount.sources.srv import SrvSettings
 from reedmount.sources.srv_reader import read_srv
 from reedmount.tables import Table, numeric
--- a/reedmount/peers/seat.py
+++ b/reedmount/peers/member_handover.py
@@ -8,7 +8,7 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS, log
 from reedmount.net.loop import Loop
-from reedmount.peers.host import Peers
+from reedmount.peers.membership import Peers
 from reedmount.peers.settings import PeerSettings
 
 TRY_AGAIN = timedelta(milliseconds=100)  # an address that another process has: below a probe's own period
--- a/reedmount/peers/host.py
+++ b/reedmount/peers/membership.py
@@ -16,8 +16,8 @@
 from reedmount.members.knowledge import Fact
 from reedmount.members.outbox import Output, Send, Stood, Told
 from reedmount.members.protocol import Protocol
+from reedmount.members.quorum import Standing
 from reedmount.members.record import Record
-from reedmount.members.standing import Standing
 from reedmount.members.view import Change
 from reedmount.members.wire import DATAGRAM_MOST
 from reedmount.net.connection import Address, family_of, text_of
--- a/reedmount/peers/mesh.py
+++ b/reedmount/peers/mesh.py
@@ -16,7 +16,7 @@
 from reedmount.core.clock import Clock
 from reedmount.net.connection import Address, Connection, End, listen
 from reedmount.net.loop import Loop
-from reedmount.replicas.words import FRAME, FrameError, Hello, Message, frame, length_of, unframe
+from reedmount.replicas.messages import FRAME, FrameError, Hello, Message, frame, length_of, unframe
 
 LOOK_EVERY = timedelta(milliseconds=250)
 DIAL_AGAIN = timedelta(milliseconds=500)
--- a/reedmount/peers/platform.py
+++ b/reedmount/peers/platform.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from reedmount.config import ConfigError, address
+from reedmount.members.quorum import Roster
 from reedmount.members.record import ZONE_MOST
 from reedmount.members.settings import Timing
-from reedmount.members.standing import Roster
 from reedmount.net.connection import Address
 from reedmount.peers.settings import ROSTER_MOST, WAYS_MOST, PeerSettings
 
--- a/reedmount/peers/reader.py
+++ b/reedmount/peers/reader.py
@@ -4,8 +4,8 @@
 
 from reedmount import __version__
 from reedmount.config import ConfigError
+from reedmount.members.quorum import Roster
 from reedmount.members.settings import Timing
-from reedmount.members.standing import Roster
 from reedmount.peers.settings import ROSTER_MOST, WAYS_MOST, PeerSettings, identity
 from reedmount.sources.srv_reader import read_srv
 from reedmount.tables import Table, numeric
--- a/reedmount/peers/copies.py
+++ b/reedmount/peers/replication.py
@@ -22,12 +22,12 @@
 from reedmount.members.wire import group_of
 from reedmount.net.connection import Address
 from reedmount.net.loop import Loop
-from reedmount.peers.host import Peers
+from reedmount.peers.membership import Peers
 from reedmount.peers.mesh import Mesh
 from reedmount.replicas.holder import Kept
+from reedmount.replicas.messages import Entry, Hello, Message, Phase, ShardId
 from reedmount.replicas.owner import Durable, Send
 from reedmount.replicas.replicas import Fenced, Forget, Pruned, Replicas, TakenOver
-from reedmount.replicas.words import Entry, Hello, Message, Phase, ShardId
 from reedmount.store.log import Log, Unsound
 from reedmount.store.writer import Writer
 
--- a/reedmount/peers/ways.py
+++ b/reedmount/peers/seed_discovery.py
@@ -9,8 +9,8 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.net.connection import Address
 from reedmount.net.loop import Loop
-from reedmount.peers.host import Peers
-from reedmount.pool.words import Claim
+from reedmount.peers.membership import Peers
+from reedmount.pool.claims import Claim
 from reedmount.sources.srv import SrvSettings, SrvSource
 
 
--- a/reedmount/peers/settings.py
+++ b/reedmount/peers/settings.py
@@ -7,9 +7,9 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
+from reedmount.members.quorum import Roster
 from reedmount.members.record import WORD, Record, record_of
 from reedmount.members.settings import Timing
-from reedmount.members.standing import Roster
 from reedmount.net.connection import Address
 
 if TYPE_CHECKING:  # the platform's members ask no names: they are spared the resolver
--- a/reedmount/pool/pool.py
+++ b/reedmount/pool/pool.py
@@ -11,9 +11,9 @@
 
 from reedmount.core.checks import COUNTERS, invariant
 from reedmount.net.connection import text_of
+from reedmount.pool.claims import Claim, Place, Word
 from reedmount.pool.rule import OURS, SERVES, Rule, decide
 from reedmount.pool.source import Part, Source
-from reedmount.pool.words import Claim, Place, Word
 
 SERVERS_MOST = 4096
 MARKS_MOST = 4096  # of servers that are gone
--- a/reedmount/pool/rule.py
+++ b/reedmount/pool/rule.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from reedmount.pool.words import Word
+from reedmount.pool.claims import Word
 
 
 class Rule(Enum):
--- a/reedmount/pool/source.py
+++ b/reedmount/pool/source.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 
-from reedmount.pool.words import LEAVING, Claim, Place, Word
+from reedmount.pool.claims import LEAVING, Claim, Place, Word
 
 
 @dataclass(slots=True)
--- a/reedmount/records/keeper.py
+++ b/reedmount/records/call_records.py
@@ -16,9 +16,9 @@
 from reedmount.core.switch import Switch
 from reedmount.fronts.sip import SipFront
 from reedmount.net.loop import Loop
-from reedmount.peers.copies import CopiesHost
+from reedmount.peers.replication import CopiesHost
 from reedmount.records.record import Held, decode, encode
-from reedmount.replicas.words import DATA_MOST, Entry, Phase, ShardId
+from reedmount.replicas.messages import DATA_MOST, Entry, Phase, ShardId
 from reedmount.sip.dialog import Side
 
 SWEEP_EVERY = timedelta(seconds=1)
--- a/reedmount/replicas/succession.py
+++ b/reedmount/replicas/failover.py
@@ -13,11 +13,11 @@
 from typing import Protocol
 
 from reedmount.core.checks import COUNTERS
-from reedmount.replicas.copy import Copy
 from reedmount.replicas.holder import Holder
+from reedmount.replicas.messages import Entry, Old, Prepare, Promise, ShardId, Term
 from reedmount.replicas.owner import Send
 from reedmount.replicas.placement import holders
-from reedmount.replicas.words import Entry, Old, Prepare, Promise, ShardId, Term
+from reedmount.replicas.shard_replica import Copy
 
 PATIENCE = timedelta(seconds=2)  # for the holder before us, and for promises that do not come
 ASK_AGAIN = timedelta(milliseconds=500)
--- a/reedmount/replicas/holder.py
+++ b/reedmount/replicas/holder.py
@@ -6,9 +6,7 @@
 from dataclasses import dataclass
 
 from reedmount.core.checks import COUNTERS
-from reedmount.replicas.copy import Copy
-from reedmount.replicas.owner import Send
-from reedmount.replicas.words import (
+from reedmount.replicas.messages import (
     Ack,
     Append,
     Close,
@@ -21,6 +19,8 @@
     Term,
     parts,
 )  # fmt: skip
+from reedmount.replicas.owner import Send
+from reedmount.replicas.shard_replica import Copy
 
 SHARDS_MOST = 4096  # of others: the lives of all members that are not closed yet
 
--- a/reedmount/replicas/owner.py
+++ b/reedmount/replicas/owner.py
@@ -11,8 +11,7 @@
 from datetime import datetime, timedelta
 
 from reedmount.core.checks import COUNTERS, invariant
-from reedmount.replicas.copy import Copy
-from reedmount.replicas.words import (
+from reedmount.replicas.messages import (
     ENTRIES_MOST,
     Ack,
     Append,
@@ -24,6 +23,7 @@
     Snapshot,
     parts,
 )  # fmt: skip
+from reedmount.replicas.shard_replica import Copy
 
 LOG_MOST = 65_536  # steps that are kept for holders that are behind: beyond that they get a snapshot
 WINDOW = 1024  # steps on their way to one holder
--- a/reedmount/replicas/replicas.py
+++ b/reedmount/replicas/replicas.py
@@ -12,12 +12,9 @@
 from datetime import datetime
 
 from reedmount.core.checks import COUNTERS
-from reedmount.replicas.copy import Copy
+from reedmount.replicas.failover import PATIENCE, Sight, Succession, Won
 from reedmount.replicas.holder import Holder, Kept
-from reedmount.replicas.owner import Durable, Owner, Send
-from reedmount.replicas.placement import holders
-from reedmount.replicas.succession import PATIENCE, Sight, Succession, Won
-from reedmount.replicas.words import (
+from reedmount.replicas.messages import (
     Ack,
     Append,
     Close,
@@ -32,6 +29,9 @@
     Snapshot,
     Term,
 )  # fmt: skip
+from reedmount.replicas.owner import Durable, Owner, Send
+from reedmount.replicas.placement import holders
+from reedmount.replicas.shard_replica import Copy
 
 
 @dataclass(frozen=True, slots=True)
--- a/reedmount/replicas/copy.py
+++ b/reedmount/replicas/shard_replica.py
@@ -5,7 +5,7 @@
 import heapq
 from collections.abc import Iterable, Iterator
 
-from reedmount.replicas.words import Entry, Phase, ShardId, Term
+from reedmount.replicas.messages import Entry, Phase, ShardId, Term
 
 
 class Table:
--- a/reedmount/sip/endpoint.py
+++ b/reedmount/sip/endpoint.py
@@ -8,8 +8,8 @@
 from datetime import timedelta
 
 from reedmount.core.actors import Actor
-from reedmount.core.border import contained
 from reedmount.core.checks import COUNTERS, log
+from reedmount.core.fault_isolation import contained
 from reedmount.net.connection import Address, Connection, End, both, text_of
 from reedmount.net.loop import READ, Loop
 from reedmount.net.ring import Ring
--- a/reedmount/sip/transaction.py
+++ b/reedmount/sip/transaction.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from reedmount.core.actors import Timer
-from reedmount.core.border import contained
 from reedmount.core.checks import COUNTERS
+from reedmount.core.fault_isolation import contained
 from reedmount.net.loop import Loop
 from reedmount.sip.message import Message, SipError, first_value, parameter, request, response
 
--- a/reedmount/sources/lists.py
+++ b/reedmount/sources/lists.py
@@ -11,8 +11,8 @@
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.ports import Listed
 from reedmount.dns.zone import Found, save, servers
-from reedmount.pool.words import Claim, Word
-from reedmount.sources.host import PoolHost
+from reedmount.pool.claims import Claim, Word
+from reedmount.sources.pool_host import PoolHost
 
 BOARD, ZONE, FIXED = "list", "zone", "file"
 
--- a/reedmount/sources/hearsay.py
+++ b/reedmount/sources/member_reports.py
@@ -7,13 +7,13 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import log
 from reedmount.core.clock import ZERO
-from reedmount.members.hearsay import Hearsay
 from reedmount.members.knowledge import AGE_MOST, MILLI, Fact, ListState
 from reedmount.members.outbox import Told
-from reedmount.peers.host import Peers
+from reedmount.members.server_reports import Hearsay
+from reedmount.peers.membership import Peers
 from reedmount.pool.pool import Entry
 from reedmount.pool.rule import Rule
-from reedmount.sources.host import PoolHost
+from reedmount.sources.pool_host import PoolHost
 
 LEAVING = {Rule.GONE: ListState.REMOVED, Rule.DRAINING: ListState.DRAINING}
 Saying = tuple[ListState, datetime | None]
--- a/reedmount/sources/host.py
+++ b/reedmount/sources/pool_host.py
@@ -15,9 +15,9 @@
 from reedmount.core.switch import Switch
 from reedmount.net.loop import Loop
 from reedmount.pool.bands import Bands, BandSettings
+from reedmount.pool.claims import Claim, Word
 from reedmount.pool.pool import SLICE, Change, Entry, Past, Pool, Slice
 from reedmount.pool.rule import Rule
-from reedmount.pool.words import Claim, Word
 
 BETWEEN_SLICES = timedelta(milliseconds=1)
 PAGE = 100  # servers in one answer of the door
--- a/reedmount/sources/srv.py
+++ b/reedmount/sources/srv.py
@@ -11,12 +11,12 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS, log
 from reedmount.dns.answers import Answer
-from reedmount.dns.asking import GivenUp
+from reedmount.dns.query import GivenUp
 from reedmount.dns.reader import Question
 from reedmount.dns.resolver import BETWEEN_SLICES, Resolver, ResolverSettings
-from reedmount.dns.watch import Heard, Retry, Watch
+from reedmount.dns.srv_lookup import Heard, Retry, Watch
 from reedmount.net.loop import Loop
-from reedmount.pool.words import Claim
+from reedmount.pool.claims import Claim
 
 NAME = "srv"
 ASKED_A_TURN = 64
--- a/reedmount/sources/srv_reader.py
+++ b/reedmount/sources/srv_reader.py
@@ -6,10 +6,10 @@
 import dns.name
 
 from reedmount.config import ConfigError
-from reedmount.dns.asking import Patience
 from reedmount.dns.cache import Bounds
+from reedmount.dns.query import Patience
 from reedmount.dns.resolver import ResolverSettings
-from reedmount.dns.watch import Retry
+from reedmount.dns.srv_lookup import Retry
 from reedmount.dns.zone import TRANSPORTS
 from reedmount.sources.srv import SrvSettings
 from reedmount.tables import Table, numeric
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -14,9 +14,9 @@
 
 from reedmount.core.clock import EPOCH
 from reedmount.replicas.holder import Kept
+from reedmount.replicas.messages import Message, Phase, ShardId, Term, frame, unframe
 from reedmount.replicas.owner import Durable, Send
 from reedmount.replicas.replicas import Fenced, Replicas, TakenOver
-from reedmount.replicas.words import Message, Phase, ShardId, Term, frame, unframe
 
 START = EPOCH + timedelta(days=20_000)
 SEEN_AFTER_S = 3.0  # a member that is gone or cut off is called dead
--- a/standins/gossip/net.py
+++ b/standins/gossip/net.py
@@ -12,9 +12,9 @@
 from reedmount.core.clock import EPOCH
 from reedmount.members.outbox import Output, Send, Stood
 from reedmount.members.protocol import Protocol
+from reedmount.members.quorum import Roster, Standing
 from reedmount.members.record import State, record_of
 from reedmount.members.settings import Timing
-from reedmount.members.standing import Roster, Standing
 from reedmount.members.view import Change
 from reedmount.members.wire import Kind, Message, group_of, write
 from reedmount.net.connection import Address
--- a/standins/site.py
+++ b/standins/site.py
@@ -14,7 +14,7 @@
 from reedmount.net.connection import text_of
 from reedmount.operate import Sources, serve_sip
 from reedmount.operator_file import read_operator
-from reedmount.pool.words import Place
+from reedmount.pool.claims import Place
 from standins.board import NoticeBoard
 from standins.callers import Callers
 from standins.callserver import CallServer
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -11,15 +11,15 @@
 import pytest
 
 from reedmount.core.checks import COUNTERS
-from reedmount.peers.copies import CopiesHost
-from reedmount.peers.host import Peers
-from reedmount.replicas.words import Entry, Old, Phase, ShardId, Term
+from reedmount.peers.membership import Peers
+from reedmount.peers.replication import CopiesHost
+from reedmount.replicas.messages import Entry, Old, Phase, ShardId, Term
 from reedmount.store.faulty import Faults, FaultyDisk, disk_of
 from reedmount.store.log import Log
 from reedmount.store.writer import Writer
 from standins.world import STEP, World
+from tests.test_member_handover import _places
 from tests.test_peers import members
-from tests.test_seat import _places
 
 S = timedelta(seconds=1)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,8 +17,8 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.core.clock import ZERO
-from reedmount.core.departure import ANSWERED_WITHIN
 from reedmount.core.ports import Setup
+from reedmount.core.shutdown import ANSWERED_WITHIN
 from reedmount.net.connection import Connection, End
 from reedmount.net.loop import Loop
 from reedmount.sip.message import response
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -16,8 +16,8 @@
 from reedmount.dns.server import UpdateServer
 from reedmount.dns.update import Master, Policy
 from reedmount.dns.zone import ZoneError, load, servers
-from reedmount.sources.host import PoolHost, PoolSettings
 from reedmount.sources.lists import ZoneSource
+from reedmount.sources.pool_host import PoolHost, PoolSettings
 from tests.scenario import HOST
 from tests.test_sip import Sip
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from reedmount.core.departure import Departure
 from reedmount.core.lifecycle import Lifecycle, Need, Phase
+from reedmount.core.shutdown import Departure
 from reedmount.fronts.admin import DOOR_SOCKETS, VISITORS, Door
 from reedmount.net.loop import READ
 from reedmount.node import LANE_SOCKETS, room_for_callers
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -15,7 +15,7 @@
 import pytest
 
 from reedmount.config import ConfigError, read_platform
-from reedmount.core import border
+from reedmount.core import fault_isolation
 from reedmount.core.checks import COUNTERS, SAID
 from reedmount.core.clock import ZERO
 from reedmount.core.lifecycle import Lifecycle
@@ -23,7 +23,7 @@
 from reedmount.dns.zone import ZoneError, load
 from reedmount.fronts.admin import Door, View
 from reedmount.fronts.board import Board, BoardError, Pool, read_notices
-from reedmount.fronts.twin import Word
+from reedmount.fronts.handover import Word
 from reedmount.operator_file import read_operator
 from reedmount.sip.message import SipError, parse_datagram
 from standins.mutate import mutated
@@ -41,9 +41,9 @@
 @pytest.fixture(autouse=True)
 def strict() -> Iterator[None]:
     """A fault that the border would contain is a fault all the same: here it fails the test."""
-    border.STRICT = True
+    fault_isolation.STRICT = True
     yield
-    border.STRICT = False
+    fault_isolation.STRICT = False
     SAID.clear()
 
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -18,7 +18,7 @@
     Knowledge,
     ListState,
 )  # fmt: skip
-from reedmount.members.rumours import Rumours
+from reedmount.members.observation_gossip import Rumours
 from standins.gossip.net import START
 
 MS, S = timedelta(milliseconds=1), timedelta(seconds=1)
--- a/tests/test_seat.py
+++ b/tests/test_member_handover.py
@@ -12,13 +12,13 @@
 
 from reedmount.core.clock import Clock
 from reedmount.members.outbox import Stood
-from reedmount.members.standing import Standing
+from reedmount.members.quorum import Standing
 from reedmount.members.view import Change
 from reedmount.net.connection import Address, text_of
 from reedmount.net.loop import Loop
-from reedmount.peers.host import Peers
+from reedmount.peers.member_handover import Seat
+from reedmount.peers.membership import Peers
 from reedmount.peers.platform import settings_of
-from reedmount.peers.seat import Seat
 from standins.world import World
 from tests.scenario import HOST
 from tests.test_board import notice
--- a/tests/test_hearsay.py
+++ b/tests/test_member_reports.py
@@ -7,14 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedmount.members.hearsay import Hearsay, Verdict
 from reedmount.members.knowledge import HELD_BACK, WAY_MOST, Fact, Knowledge, ListState
+from reedmount.members.observation_gossip import Rumours
 from reedmount.members.record import State
-from reedmount.members.rumours import Rumours
+from reedmount.members.server_reports import Hearsay, Verdict
 from reedmount.net.connection import text_of
+from reedmount.pool.claims import Claim, Word
 from reedmount.pool.pool import Change, Pool
 from reedmount.pool.rule import Rule
-from reedmount.pool.words import Claim, Word
 from standins.gossip.net import START, Group, Way
 
 S, MS = timedelta(seconds=1), timedelta(milliseconds=1)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,18 +12,18 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from reedmount.core.checks import COUNTERS
+from reedmount.members.capacity_sharing import sharers
 from reedmount.members.damping import HALF_LIFE, Damping
-from reedmount.members.dues import Dues
+from reedmount.members.dissemination import Spread
 from reedmount.members.health import WORST, LocalHealth
 from reedmount.members.outbox import Outbox, Send
 from reedmount.members.prober import Round
+from reedmount.members.quorum import Count, Roster, Standing
 from reedmount.members.record import Record, State, record_of
 from reedmount.members.settings import Timing
-from reedmount.members.shares import sharers
-from reedmount.members.spread import Spread
-from reedmount.members.standing import Count, Roster, Standing
 from reedmount.members.suspects import Suspects
 from reedmount.members.suspicion import Suspicion
+from reedmount.members.timer_queue import Dues
 from reedmount.members.view import RECORDS_MOST, View
 from reedmount.members.wire import DATAGRAM_MOST, HEAD, Kind, Message, WireError, group_of, read, write
 from standins.gossip.net import START, Group, Way
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,9 +13,9 @@
 from reedmount.config import ConfigError
 from reedmount.core.checks import COUNTERS
 from reedmount.members.outbox import Output
-from reedmount.members.standing import Standing
+from reedmount.members.quorum import Standing
 from reedmount.operator_file import read_operator
-from reedmount.peers.host import HELD_MOST, Peers
+from reedmount.peers.membership import HELD_MOST, Peers
 from reedmount.peers.platform import read_peers, settings_of
 from reedmount.peers.settings import PeerSettings
 from standins.world import World
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,9 +12,9 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.core.ports import Listed, Setup
 from reedmount.core.switch import Switch
-from reedmount.fronts.lane import Terms
-from reedmount.fronts.lanes import CallServers
+from reedmount.fronts.call_servers import CallServers
 from reedmount.fronts.platform import Callers
+from reedmount.fronts.server_connection import Terms
 from reedmount.sip.message import response
 from tests.scenario import HOST, Stage, digits
 from tests.support import SETTINGS
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from reedmount.net.connection import text_of
+from reedmount.pool.claims import Claim, Place, Word
 from reedmount.pool.pool import MARKS_MOST, SERVERS_MOST, Change, Past, Pool
 from reedmount.pool.rule import Rule, decide
-from reedmount.pool.words import Claim, Place, Word
 
 T0 = datetime(2026, 12, 1, tzinfo=UTC)
 S = timedelta(seconds=1)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -9,8 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from reedmount.replicas.placement import holders, set_size
-from reedmount.replicas.words import (
+from reedmount.replicas.messages import (
     DATA_MOST,
     FRAME,
     FRAME_MOST,
@@ -25,6 +24,7 @@
     parts,
     unframe,
 )  # fmt: skip
+from reedmount.replicas.placement import holders, set_size
 from standins.copies import Group
 
 SHARD, TERM = ShardId("n0", 7), Term(1, "n0", 7)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -14,9 +14,9 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.dns.answers import Answer, Fault, meaning
-from reedmount.dns.asking import GivenUp, Patience
 from reedmount.dns.cache import Bounds, Cache
 from reedmount.dns.health import ALONE_REST, BESIDE_REST, JITTER, NameServers
+from reedmount.dns.query import GivenUp, Patience
 from reedmount.dns.reader import RECORDS_MOST, Question, ReadError, head, read
 from reedmount.dns.resolver import FLIGHTS_MOST, Resolver, ResolverSettings
 from standins.nameserver import FAULTS, NameServer
--- a/tests/test_departure.py
+++ b/tests/test_shutdown.py
@@ -13,8 +13,8 @@
 import pytest
 
 from reedmount.core.checks import COUNTERS
-from reedmount.core.departure import Departure, earliest_kill
 from reedmount.core.lifecycle import Lifecycle, Phase
+from reedmount.core.shutdown import Departure, earliest_kill
 from tests.scenario import HOST, VirtualTime
 from tests.test_board import notice
 from tests.test_config import changed, platform
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -11,8 +11,8 @@
 import pytest
 
 from reedmount import interface as i
-from reedmount.core.border import contained
 from reedmount.core.checks import COUNTERS, SAID, invariant
+from reedmount.core.fault_isolation import contained
 from reedmount.core.ports import Listed, Setup
 from reedmount.core.switch import Switch
 from reedmount.fronts.sip import SipFront, SipSettings
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -14,8 +14,8 @@
 from reedmount.core.ports import Offer, Progress
 from reedmount.dns.health import ALONE_REST, JITTER
 from reedmount.net.connection import text_of
+from reedmount.pool.claims import Claim, Word
 from reedmount.pool.rule import Rule
-from reedmount.pool.words import Claim, Word
 from standins.callserver import CallServer
 from standins.nameserver import FAULTS
 from standins.site import SRV, Site
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,10 +20,10 @@
 from reedmount.core.ports import Listed
 from reedmount.core.switch import Switch
 from reedmount.fronts.board import Board, Pool
-from reedmount.fronts.lane import Terms
-from reedmount.fronts.lanes import CallServers
+from reedmount.fronts.call_servers import CallServers
+from reedmount.fronts.handover import FILE, Heirs, ask
 from reedmount.fronts.platform import Callers
-from reedmount.fronts.twin import FILE, Heirs, ask
+from reedmount.fronts.server_connection import Terms
 from reedmount.net.connection import bind
 from tests.scenario import HOST, Stage
 from tests.test_board import notice
