--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -21,12 +21,12 @@
 import click
 
 from reedmount.core.clock import Clock
-from reedmount.members.quorum import Roster
+from reedmount.members.quorum import VoterSet
 from reedmount.members.settings import Timing
 from reedmount.net.loop import Loop
-from reedmount.peers.membership import Peers
-from reedmount.peers.replication import CopiesHost
-from reedmount.peers.settings import PeerSettings
+from reedmount.peers.membership import Membership
+from reedmount.peers.replication import Replication
+from reedmount.peers.settings import MembershipSettings
 from reedmount.replicas.messages import Phase
 from reedmount.store.disk import RealDisk
 from reedmount.store.log import Log
@@ -46,8 +46,8 @@
         self.loop, self._folder, self._disk = Loop(Clock()), folder, disk
         net = f"127.{1 + (os.getpid() >> 8) % 250}.{os.getpid() & 255}"  # several may be measured at once
         self._places = {name: (f"{net}.{number}", 7946) for number, name in enumerate(NAMES, 1)}
-        self.hosts: dict[str, CopiesHost] = {}
-        self._peers: dict[str, Peers] = {}
+        self.hosts: dict[str, Replication] = {}
+        self._peers: dict[str, Membership] = {}
         self._disks: dict[str, RealDisk] = {}
         self.longest_s = 0.0  # of a turn of the loop
         for name in NAMES:
@@ -57,12 +57,12 @@
     def start(self, name: str, folder: str) -> None:
         """A member with this folder."""
         place = self._places[name]
-        roster = (Roster(1, frozenset(NAMES)),)
+        roster = (VoterSet(1, frozenset(NAMES)),)
         ways = tuple(self._places.values())
-        settings = PeerSettings(name, "bench", place, place, ways, roster, timing=Timing())
-        peers = self._peers[name] = Peers(self.loop, settings)
+        settings = MembershipSettings(name, "bench", place, place, ways, roster, timing=Timing())
+        membership = self._peers[name] = Membership(self.loop, settings)
         if not self._disk:
-            self.hosts[name] = CopiesHost(self.loop, peers, name, "bench", place, 1)
+            self.hosts[name] = Replication(self.loop, membership, name, "bench", place, 1)
             return
         disk = self._disks[name] = RealDisk(self._folder / folder)
         log = Log(disk)
@@ -71,7 +71,7 @@
         def writer(durable: Callable[[int], None], trouble: Callable[[bool], None]) -> Writer:
             return Writer(self.loop, log, disk, True, durable, trouble)
 
-        self.hosts[name] = CopiesHost(self.loop, peers, name, "bench", place, 1, log, writer)
+        self.hosts[name] = Replication(self.loop, membership, name, "bench", place, 1, log, writer)
 
     def kill(self, name: str) -> None:
         """It is gone."""
--- a/benchmarks/resolver.py
+++ b/benchmarks/resolver.py
@@ -22,7 +22,7 @@
 import dns.rdatatype
 
 from reedmount.dns.answers import Answer
-from reedmount.dns.query import GivenUp
+from reedmount.dns.query import LookupFailed
 from reedmount.dns.reader import Question
 from reedmount.dns.resolver import Resolver, ResolverSettings
 from standins.nameserver import NameServer
@@ -81,18 +81,18 @@
             server.refuse_tcp()
     world.stands += servers
     resolver = Resolver(world.loop, ResolverSettings(tuple(s.address for s in servers)), random.Random(seed))
-    got: list[tuple[float, Answer | GivenUp, int]] = []
+    got: list[tuple[float, Answer | LookupFailed, int]] = []
     out = [False]
 
     def ask() -> None:
         sent = sum(len(server.asked) for server in servers)
 
-        def done(answer: Answer | GivenUp) -> None:
+        def done(answer: Answer | LookupFailed) -> None:
             got.append((world.seconds, answer, sum(len(server.asked) for server in servers) - sent))
             out[0] = False
 
         out[0] = True
-        resolver.ask(SRV, done, fresh=True)
+        resolver.resolve(SRV, done, fresh=True)
 
     def each_step(step: Callable[[], None], done: Callable[[], bool] = lambda: False) -> None:
         """One question at the start of the span, where none is out; the span ends early once it is done."""
@@ -128,7 +128,7 @@
         server.kill()
     world.loop.close()
     later = got[heard:]
-    unsent = sum(1 for _, answer, sent in later if isinstance(answer, GivenUp) and sent == 0)
+    unsent = sum(1 for _, answer, sent in later if isinstance(answer, LookupFailed) and sent == 0)
     return Played(recovered, unsent, len(later), bool(failing))
 
 
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -33,7 +33,7 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.core.clock import ZERO, Clock
 from reedmount.dns.answers import Answer
-from reedmount.dns.cache import Bounds, Cache
+from reedmount.dns.cache import Cache, CacheLimits
 from reedmount.dns.reader import Question
 from reedmount.dns.resolver import Resolver, ResolverSettings
 from reedmount.net.loop import Loop
@@ -68,7 +68,7 @@
 
     def watch(self, loop: Loop) -> None:
         """Time everything this loop does from now on."""
-        plain, turn = Scheduler.do, loop.turn
+        plain, turn = Scheduler.run_safely, loop.turn
 
         def timed(work: Callable[..., None], *on: object) -> None:
             self._depth += 1
@@ -91,7 +91,7 @@
             self.spent.append((self._now, self._longest[1]))
             return busy
 
-        Scheduler.do = staticmethod(timed)  # type: ignore[method-assign]
+        Scheduler.run_safely = staticmethod(timed)  # type: ignore[method-assign]
         loop.turn = turned  # type: ignore[method-assign]
 
     def worst(self) -> tuple[float, str]:
@@ -261,22 +261,22 @@
         began = time.process_time()
         for _ in range(rounds):
             got: list[object] = []
-            resolver.ask(Question(SRV, dns.rdatatype.SRV), got.append, fresh=True)
+            resolver.resolve(Question(SRV, dns.rdatatype.SRV), got.append, fresh=True)
             while not got:
                 world.seconds += 0.001
                 world.turn()
         total = (time.process_time() - began) / rounds * 1000
         server.pump = plain  # type: ignore[method-assign]
         print(f"| {count} | {total:.2f} ms | {own / rounds * 1000:.2f} ms |")
-    bounds = Bounds()
+    limits = CacheLimits()
     tracemalloc.start()
-    cache = Cache(bounds)
+    cache = Cache(limits)
     for number in range(40_000):
         question = Question(f"host-{number}.calls.example.", dns.rdatatype.A)
         cache.put(world.now, question, Answer(60, addresses=(f"10.0.{number // 256}.{number % 256}",)))
     held, _ = tracemalloc.get_traced_memory()
     print(f"\ncache full: {len(cache)} entries, {cache.memory / 2**20:.2f} MiB by its estimate, "
-          f"{held / 2**20:.2f} MiB measured; bound {bounds.memory / 2**20:.0f} MiB")  # fmt: skip
+          f"{held / 2**20:.2f} MiB measured; bound {limits.memory / 2**20:.0f} MiB")  # fmt: skip
 
 
 @main.command()
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -217,11 +217,11 @@
             os._exit(0)
         os.waitpid(child, 0)
         files = [file for file in sorted(folder.iterdir()) if file.stat().st_size and "lock" not in file.name]
-        chance = random.Random(seed)
-        file = chance.choices(files, [file.stat().st_size for file in files])[0]
+        rng = random.Random(seed)
+        file = rng.choices(files, [file.stat().st_size for file in files])[0]
         raw = bytearray(file.read_bytes())
         used = len(raw.rstrip(b"\0"))
-        raw[chance.randrange(used)] ^= 1 << chance.randrange(8)
+        raw[rng.randrange(used)] ^= 1 << rng.randrange(8)
         file.write_bytes(raw)
         try:
             read = OPTIONS[name](folder, True).read()
--- a/reedmount/__main__.py
+++ b/reedmount/__main__.py
@@ -38,7 +38,7 @@
             node.signalled(number)
 
     loop.watch(inside.fileno(), READ, ready)
-    loop.keep = inside
+    loop.retained = inside
 
 
 def _operated(loop: Loop, path: Path) -> Node:
@@ -51,12 +51,12 @@
 
 def _join_peers(loop: Loop, node: Node) -> None:
     """Be a member among the platform's peers, where it names any; without the flag none of it is imported."""
-    from reedmount.peers.member_handover import Seat
+    from reedmount.peers.member_handover import MemberHandover
     from reedmount.peers.platform import read_peers
 
     settings = read_peers(os.environ)
     if settings is not None:
-        node.parts = seat = Seat(loop, settings)
+        node.parts = seat = MemberHandover(loop, settings)
         node.on_hand_over(seat.hand_over)
         node.on_end(seat.leave)
 
--- a/reedmount/config.py
+++ b/reedmount/config.py
@@ -13,7 +13,7 @@
 from reedmount import interface as i
 from reedmount.core.clock import millis, span, span_micros
 from reedmount.fronts.board import BoardError, Notice, read_notices
-from reedmount.net.connection import Address, address_of
+from reedmount.net.connection import Address, parse_address
 from reedmount.simhost import Options, WireError, read_settings
 
 # What must be a number, and what it must be above; the rest may be 0.
@@ -24,7 +24,7 @@
     "allowed": {"max_attempts": 0.5},
 }
 CLASS_FIGURES: dict[str, float | None] = {"deadline": 0, "target": 0, "worth": None, "late_share": None}
-MOST_DIGITS = 15  # of microseconds: a span of 31 years
+MAX_DIGITS = 15  # of microseconds: a span of 31 years
 RELEASE_MARGIN = millis(30)  # a message has its way to go, and that to another server may be shorter
 
 
@@ -89,7 +89,7 @@
 def address(value: Any, key: str) -> Address:
     """An address with a port."""
     try:
-        return address_of(str(value))
+        return parse_address(str(value))
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
 
@@ -193,6 +193,6 @@
 def span_of(options: list[str], key: str) -> timedelta | None:
     """A span above 0, in microseconds; None where it is not told, or 0."""
     text = Options(options).maybe(key)
-    if text and not (text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS):
+    if text and not (text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS):
         raise ConfigError(f"settings.{key}: not a whole number of microseconds: {text!r}")
     return span(int(text)) or None if text else None
--- a/reedmount/control.py
+++ b/reedmount/control.py
@@ -25,12 +25,12 @@
 LONGEST_HOLD_OFF = 4.0  # of the plain hold-off
 WRONG_WEIGHT = 0.25  # of the newest answer in the share of wrong ones
 WRONG_MARK = 0.65  # of answers wrong raises the flag, as four in a row do: half a server is worth having
-FAULTS_AT_TWO, FAULTS_MOST = 2, 3  # servers, or tries, with a fault each: it is the call that is at fault
+FAULTS_AT_TWO, MAX_FAULTS = 2, 3  # servers, or tries, with a fault each: it is the call that is at fault
 RESETS_IN_A_ROW = 3  # with nothing that stood between them, raise the flag: one connection may break anywhere
-PLACES_MOST = 64  # whose throughput is remembered
+MAX_PLACES = 64  # whose throughput is remembered
 WRONG_FORGIVEN = 0.5  # of that share is left when the flag drops, so that the server is tried again
 WINDOW_START = 2.0  # set-ups unanswered at one server before its delay is known
-WINDOW_LEAST = 1.0
+MIN_WINDOW = 1.0
 IDLE_LINE = 0.5  # of the low mark: an answer that waited less than this has met no line to speak of
 WINDOW_CUT = 0.5  # on a raised flag
 TICK_SHARE = 0.1  # of the high mark: how often held and unanswered calls are looked at
@@ -45,7 +45,7 @@
 HUNG_DELAYS = 2.0  # of the last delay seen, where that is longer
 IDLE_SPACING = 4.0  # of the work of one set-up from each proxy: enough where calls are few
 DRAIN_SHARE = 0.5  # of the last delay seen: the least hold-off, drawn between this and twice it
-HELD_MOST = 100  # held calls: more would only time out
+MAX_HELD = 100  # held calls: more would only time out
 SHED_AT_ONCE = 8  # of them, the least valuable: to look for one at each call took a third of a busy core
 ANSWER_MARGIN = 2.0  # ticks: no call is held nearer to the end of the caller's time than this
 HOLD = 1.0  # of the resend gap: so long a call waits at least, also one past its aim, before it is refused
@@ -167,7 +167,7 @@
     """The decisions of one proxy. It knows its settings and its own events, and nothing else."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        self.settle(settings)
+        self.apply_settings(settings)
         self._random = random.Random(seed)
         self._servers: dict[str, Server] = {}
         self._calls: dict[int, Call] = {}
@@ -188,7 +188,7 @@
         self._seen: dict[Key, int] = {}
         self._actions: list[i.Action] = []
 
-    def settle(self, settings: i.Settings) -> None:
+    def apply_settings(self, settings: i.Settings) -> None:
         """Go by these settings from now on; a call keeps what held when it came."""
         self._settings = settings
         self._classes = {kind.name: kind for kind in settings.classes}
@@ -206,17 +206,17 @@
                 self._on_list(now, event)
             case i.NewCall():
                 self._on_call(now, event)
-            case i.CallStands():
+            case i.CallEstablished():
                 self._on_stands(now, event)
             case i.AttemptEnded():
                 self._on_ended(now, event)
-            case i.CallerGone():
+            case i.CallerAbandoned():
                 self._forget(event.call)
             case i.TimerFired():
                 self._ticking = False
                 for call in list(self._held.values()):
                     self._end_if_hopeless(now, call)
-            case i.Reports():
+            case i.LoadReports():
                 for server, report in event.reports:
                     self._on_report(now, self._servers.get(server), report)
         self._watch_unanswered(now)
@@ -248,7 +248,7 @@
             self._last_took = None
         places = {server.number for server in self._servers.values()}
         self._numbers = {server.number for server in self._servers.values() if server.serving}
-        for number in [number for number in self._throughput if number not in places][:-PLACES_MOST]:
+        for number in [number for number in self._throughput if number not in places][:-MAX_PLACES]:
             del self._throughput[number]
 
     def _on_entry(self, now: int, entry: i.ServerEntry) -> None:
@@ -292,7 +292,7 @@
             tenant=event.tenant,
             number=event.number,
             first_choice=event.first_choice,
-            aim_at_us=first_try + kind.aim_us,
+            aim_at_us=first_try + kind.target_us,
             answer_by_us=event.answer_by_us,
             worth=worth,
             late_worth=worth * kind.late_share,
@@ -300,7 +300,7 @@
             held_us=now,
         )
         # A redial may come with less time left than a tick: it would be past its time before we look again.
-        if not self._end_if_hopeless(now, call) and len(self._held) > HELD_MOST:
+        if not self._end_if_hopeless(now, call) and len(self._held) > MAX_HELD:
             for shed in sorted(self._held.values(), key=self._order(now))[-SHED_AT_ONCE:]:
                 self._refuse(shed, i.Reason.SHED)
 
@@ -314,7 +314,7 @@
         rate = self._tenant_rate.get(tenant or "")
         if quota is None or rate is None:
             return 1.0
-        fleet = rate.per_s(now) * self._settings.proxies
+        fleet = rate.per_s(now) * self._settings.instances
         if fleet <= quota:
             return 1.0
         inside = quota / fleet
@@ -336,7 +336,7 @@
             del self._seen[oldest]
         return first
 
-    def _on_stands(self, now: int, event: i.CallStands) -> None:
+    def _on_stands(self, now: int, event: i.CallEstablished) -> None:
         call = self._calls.get(event.call)
         self._forget(event.call)
         server = self._servers.get(event.server)
@@ -387,7 +387,7 @@
         The quickest answer seen stands for the work of one set-up. Most of it may be the way, though: what
         stands here in that time and the low mark together is no longer a line either.
         """
-        share = self._low_us / max(1, self._quickest_us * self._settings.proxies)
+        share = self._low_us / max(1, self._quickest_us * self._settings.instances)
         span_us = self._low_us + (server.quickest_us or self._quickest_us)
         return max(WINDOW_START, share, server.stood.per_s(now) * span_us / 1e6)
 
@@ -459,7 +459,7 @@
         if report.free_lines is not None:
             server.told_empty = report.free_lines < 1
             # Every proxy hears of the same free lines: our share of them, its broken part drawn.
-            server.grant = report.free_lines / max(1, self._settings.proxies) + self._random.random()
+            server.grant = report.free_lines / max(1, self._settings.instances) + self._random.random()
         if report.wait_us is not None:
             self._on_reading(now, server, report.wait_us)
 
@@ -474,7 +474,7 @@
     def _raise_flag(self, now: int, server: Server) -> None:
         """Bar new set-ups for a hold-off; it is jittered, so that the proxies don't come back together."""
         if not server.flagged:
-            server.window = max(WINDOW_LEAST, server.window * WINDOW_CUT)
+            server.window = max(MIN_WINDOW, server.window * WINDOW_CUT)
             if server.failures == LOGGED_FAILURES:
                 self._actions.append(i.Log(f"{server.id} failed {server.failures} times in a row"))
         server.flagged = True
@@ -504,7 +504,7 @@
         ours_per_s = self._offered.per_s(now) * self._share(server)
         spacing_us = 1e6 / ours_per_s if ours_per_s else 0.0
         if server.quickest_us is not None:
-            spacing_us = min(spacing_us, IDLE_SPACING * server.quickest_us * self._settings.proxies)
+            spacing_us = min(spacing_us, IDLE_SPACING * server.quickest_us * self._settings.instances)
         return spacing_us
 
     def _lower_flag(self, now: int, server: Server) -> None:
@@ -572,7 +572,7 @@
         present = start + (1 - start) * min(1.0, max(0.0, warmed))
         places = self._throughput.values()
         alike = (sum(place.stood for place in places) + 1) / (sum(place.span_s for place in places) + PRIOR_S)
-        guess = min(alike, 1e6 / (max(1.0, self._delay_us) * max(1, self._settings.proxies)))
+        guess = min(alike, 1e6 / (max(1.0, self._delay_us) * max(1, self._settings.instances)))
         return self._settings.fall_multiple * present * server.throughput.per_s(guess)
 
     def _cold_admits(self, now: int, server: Server) -> bool:
@@ -716,7 +716,7 @@
             return i.Reason.MAY_HAVE_RUN
         if call.attempts >= call.rules.max_attempts:
             return i.Reason.NO_ATTEMPT_LEFT
-        if len(call.faults) >= FAULTS_MOST or len(set(call.faults)) >= FAULTS_AT_TWO:
+        if len(call.faults) >= MAX_FAULTS or len(set(call.faults)) >= FAULTS_AT_TWO:
             return i.Reason.FAULTS
         earliest = max(now, call.not_before_us)
         if earliest + ANSWER_MARGIN * self._tick_us >= call.answer_by_us:
@@ -734,7 +734,7 @@
         if call.unsafe:
             self._actions.append(i.FailCall(call.id, reason))
         else:
-            least_us = min(PAUSE * self._gap_us, call.rules.longest_pause_us / 2)
+            least_us = min(PAUSE * self._gap_us, call.rules.max_retry_after_us / 2)
             pause_us = least_us * self._random.uniform(1, 2)
             self._actions.append(i.RefuseCall(call.id, round(pause_us), reason))
 
--- a/reedmount/core/actors.py
+++ b/reedmount/core/actors.py
@@ -45,24 +45,24 @@
         self.stopped = False
         self._timers: list[Timer] = []
         self._ready: deque[Callable[[], None]] = deque()
-        self.trace = Trace(clock, self.soon)
+        self.trace = Trace(clock, self.call_soon)
         self._order = 0
-        self.keep: object = None  # what must live as long as the loop
+        self.retained: object = None  # what must live as long as the loop
 
-    def soon(self, work: Callable[[], None]) -> None:
+    def call_soon(self, work: Callable[[], None]) -> None:
         """Do it in this turn, after what is ready already."""
         self._ready.append(work)
 
-    def at(self, instant: datetime, work: Callable[[], None]) -> Timer:
+    def call_at(self, instant: datetime, work: Callable[[], None]) -> Timer:
         """Do it at an instant."""
         self._order += 1
         timer = Timer(instant, self._order, work)
         heapq.heappush(self._timers, timer)
         return timer
 
-    def after(self, span: timedelta, work: Callable[[], None]) -> Timer:
+    def call_later(self, span: timedelta, work: Callable[[], None]) -> Timer:
         """Do it after a span."""
-        return self.at(self.clock.now() + span, work)
+        return self.call_at(self.clock.now() + span, work)
 
     def _run_timers(self) -> bool:
         """Do what is due; whether there was anything."""
@@ -71,12 +71,12 @@
         while self._timers and self._timers[0].at <= now:
             timer = heapq.heappop(self._timers)
             if not timer.cancelled:
-                self.do(timer.work)
+                self.run_safely(timer.work)
                 busy = True
         return busy
 
     @staticmethod
-    def do(work: Callable[..., None], *on: object) -> None:
+    def run_safely(work: Callable[..., None], *on: object) -> None:
         """An error in one piece of work is counted and told; a debug build stops there."""
         try:
             work(*on)
@@ -103,7 +103,7 @@
         """Send the actor something; it looks at it in this turn of the loop."""
         self._items.append(item)
         if len(self._items) == 1:
-            self._loop.soon(self._wake)
+            self._loop.call_soon(self._wake)
 
     def take(self) -> Generator[Mailbox[Any], Any, T]:
         """Wait for the next item: ``item = yield from mailbox.take()``."""
@@ -114,7 +114,7 @@
         """Have the next item handed over."""
         self._waiter = waiter
         if self._items:
-            self._loop.soon(self._wake)
+            self._loop.call_soon(self._wake)
 
     def close(self) -> None:
         """Nobody looks at it any more."""
@@ -155,7 +155,7 @@
 
     def stop(self) -> None:
         """It has nothing more to do; what it is amid it finishes."""
-        self._loop.soon(self._end)
+        self._loop.call_soon(self._end)
 
     def _end(self) -> None:
         self.mailbox.close()
@@ -165,7 +165,7 @@
     def _live(self) -> Script:
         while True:
             item = yield from self.mailbox.take()
-            Scheduler.do(self._handle, item)
+            Scheduler.run_safely(self._handle, item)
 
     def _step(self, item: T | None) -> None:
         waiting = self._script.send(item)
--- a/reedmount/core/background.py
+++ b/reedmount/core/background.py
@@ -18,7 +18,7 @@
 
 BUDGET = timedelta(milliseconds=2)  # a turn with nothing else to do
 BUSY_BUDGET = timedelta(microseconds=300)  # a turn in which calls had something to do
-JOBS_MOST = 4096  # that wait at once, all kinds together
+MAX_JOBS = 4096  # that wait at once, all kinds together
 
 Slices = Generator[None, None, None]
 Work = Callable[[], Slices | None]
@@ -28,7 +28,7 @@
     """What goes first where there is not time for all."""
 
     PROBE = 0  # others judge us by how soon we answer
-    NEWS = 1
+    UPDATE = 1
     SWEEP = 2
     CATCH_UP = 3
 
@@ -78,7 +78,7 @@
             self._job.cancel()
 
     def _wait(self) -> None:
-        self._timer = self._background.loop.after(self.span, self._due)
+        self._timer = self._background.loop.call_later(self.span, self._due)
 
     def _due(self) -> None:
         self._job = self._background.add(self._name, self._whole, self._urgency, self.span)
@@ -110,17 +110,17 @@
         """Whether there is something to do."""
         return self._count > 0
 
-    def add(self, name: str, work: Work, urgency: Urgency, patience: timedelta) -> Job | None:
+    def add(self, name: str, work: Work, urgency: Urgency, max_delay: timedelta) -> Job | None:
         """Do it when there is time, and after ``patience`` whether there is or not.
 
         ``name`` is what it is counted by (``background.NAME.*``). None where too much waits already: the
         caller does without, and it is counted.
         """
-        if self._count >= JOBS_MOST:
+        if self._count >= MAX_JOBS:
             COUNTERS.add("background.no_room")
             return None
         now = self.loop.clock.now()
-        job = Job(name, urgency, now + patience, work, self._let_go)
+        job = Job(name, urgency, now + max_delay, work, self._let_go)
         self._count += 1
         self._order += 1
         heapq.heappush(self._heap, (job.urgency, self._order, job))
@@ -177,7 +177,7 @@
 
         job.running = True
         try:
-            self.loop.do(step)
+            self.loop.run_safely(step)
         finally:
             job.running = False
             if not goes_on:
--- a/reedmount/core/checks.py
+++ b/reedmount/core/checks.py
@@ -41,8 +41,8 @@
     return cond
 
 
-SAID: Counter[str] = Counter()
-SAID_IN_FULL = 8
+LOGGED_COUNTS: Counter[str] = Counter()
+MAX_FULL_LINES = 8
 KINDS = 256
 
 
@@ -53,12 +53,12 @@
     has doubled: a log that grows with what comes in fills the disk.
     """
     if kind:
-        if kind not in SAID and len(SAID) >= KINDS:
+        if kind not in LOGGED_COUNTS and len(LOGGED_COUNTS) >= KINDS:
             kind = "other"
-        SAID[kind] += 1
-        count = SAID[kind]
-        if count > SAID_IN_FULL and count & (count - 1):
+        LOGGED_COUNTS[kind] += 1
+        count = LOGGED_COUNTS[kind]
+        if count > MAX_FULL_LINES and count & (count - 1):
             return
-        if count > SAID_IN_FULL:
+        if count > MAX_FULL_LINES:
             text = f"{text} ({count} of its kind so far)"
     print(text, file=sys.stderr, flush=True)
--- a/reedmount/core/fault_isolation.py
+++ b/reedmount/core/fault_isolation.py
@@ -13,7 +13,7 @@
 STRICT = False  # tests of what should never go wrong set it: a fault then stops them
 
 
-def contained(kind: str, serve: Callable[[], None], give_up: Callable[[], None] | None = None) -> bool:
+def run_isolated(kind: str, serve: Callable[[], None], give_up: Callable[[], None] | None = None) -> bool:
     """Serve one message; where that raises, count it, say it a few times, and end what the message owns.
 
     ``give_up`` answers what is owed and closes; what it raises itself is contained as well. Returns whether
@@ -31,5 +31,5 @@
         COUNTERS.add(f"faults.{kind}")
         log(f"fault in {kind}: {traceback.format_exc()}", f"fault {kind}")
     if give_up is not None:
-        contained(f"{kind}.ending", give_up)
+        run_isolated(f"{kind}.ending", give_up)
     return False
--- a/reedmount/core/lifecycle.py
+++ b/reedmount/core/lifecycle.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from reedmount.core.clock import Clock
-from reedmount.core.shutdown import Departure
+from reedmount.core.shutdown import Shutdown
 from reedmount.core.trace import Trace
 
 
@@ -25,7 +25,7 @@
 
     LISTENING = "listening"
     SERVERS = "the list of call servers"
-    NEWS = "news of the list"  # where another process has served until now
+    LIST_UPDATE = "news of the list"  # where another process has served until now
 
 
 class Lifecycle:
@@ -36,7 +36,7 @@
         self._needs = {Need.LISTENING, Need.SERVERS}
         self._superseded: datetime | None = None
         self._quiesced: datetime | None = None
-        self._ending: Departure | None = None
+        self._ending: Shutdown | None = None
         self._told: list[Callable[[], None]] = []
         self._last = self.phase
 
@@ -59,24 +59,24 @@
         return self.phase is Phase.READY
 
     @property
-    def departure(self) -> Departure | None:
+    def shutdown(self) -> Shutdown | None:
         """Its drain or its end, where that has begun."""
         if self._ending is not None:
             return self._ending
         since = self._superseded or self._quiesced
-        return Departure(since) if since is not None else None
+        return Shutdown(since) if since is not None else None
 
     @property
     def superseded(self) -> bool:
         """Whether another process takes the clients now."""
         return self._superseded is not None
 
-    def also(self, need: Need) -> None:
+    def require(self, need: Need) -> None:
         """One thing more has to be there."""
         self._needs.add(need)
         self._tell()
 
-    def met(self, need: Need) -> None:
+    def satisfy(self, need: Need) -> None:
         """One thing more is there."""
         self._needs.discard(need)
         self._tell()
@@ -102,7 +102,7 @@
         """The end has begun; the process may be killed so much later, where that is known."""
         if self._ending is None:
             now = self._clock.now()
-            self._ending = Departure(now, now + kill_after if kill_after is not None else None)
+            self._ending = Shutdown(now, now + kill_after if kill_after is not None else None)
         self._tell()
 
     def _tell(self) -> None:
--- a/reedmount/core/ports.py
+++ b/reedmount/core/ports.py
@@ -23,7 +23,7 @@
     description: bytes
     redialled: bool = False
     was_cut: bool = False
-    leaves_at: datetime | None = None  # when its caller gives up, which is later than ``answer_by``
+    caller_gives_up_at: datetime | None = None  # when its caller gives up, which is later than ``answer_by``
     reference: str = ""  # what its caller calls it, for records
 
 
@@ -56,19 +56,21 @@
         """A call that stood is over."""
 
 
-class Keeper(Protocol):
+class CallRecorder(Protocol):
     """Who keeps what was promised of calls. Where there is none, nothing is, and nothing waits for it."""
 
-    def taken(self, offer: Offer, at: datetime) -> None:
+    def call_offered(self, offer: Offer, at: datetime) -> None:
         """A call has come."""
 
-    def final(self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]) -> None:
+    def call_rejected(
+        self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]
+    ) -> None:
         """It is refused or has failed; ``answer`` tells its caller."""
 
-    def ended(self, name: str, how: str) -> None:
+    def call_ended(self, name: str, how: str) -> None:
         """A call that stood has come to its end."""
 
-    def dropped(self, name: str, attempts: int, server: str) -> None:
+    def call_forgotten(self, name: str, attempts: int, server: str) -> None:
         """It is forgotten, whatever was said of it before."""
 
 
@@ -102,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedServer:
     """One call server of the pool, with the address it is reached at."""
 
     server: str
@@ -128,5 +130,5 @@
     def release(self, server: str | None, name: str, cause: int) -> None:
         """Release a call that stands; None where it is not known which server has it."""
 
-    def listed(self, entries: list[Listed]) -> None:
+    def servers_changed(self, entries: list[ListedServer]) -> None:
         """The pool has changed: these are the changed servers."""
--- a/reedmount/core/shutdown.py
+++ b/reedmount/core/shutdown.py
@@ -28,17 +28,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Departure:
+class Shutdown:
     """A drain, or the end of the process, that has begun."""
 
     since: datetime
     kill_at: datetime | None = None  # at the end only
 
-    def refuses(self, now: datetime) -> bool:
+    def refuses_setups(self, now: datetime) -> bool:
         """Whether set-ups that come now are refused, and connections with nothing left closed."""
         return now - self.since >= STILL_USED
 
-    def hurries(self, now: datetime) -> bool:
+    def skips_quiet_period(self, now: datetime) -> bool:
         """Whether a connection closes at the first moment with nothing open, though messages still come."""
         return now - self.since >= (HURRIED_AFTER if self.kill_at is None else HURRIED_AT_END_AFTER)
 
@@ -49,7 +49,7 @@
         return latest if self.kill_at is None else min(latest, self.kill_at - ANSWERED_BEFORE_KILL)
 
     @property
-    def test_at(self) -> datetime | None:
+    def probe_at(self) -> datetime | None:
         """When call servers are tested that hold calls: what is silent at the end has lost them."""
         return None if self.kill_at is None else self.kill_at - TESTED_BEFORE_KILL
 
@@ -58,10 +58,10 @@
         """When connections are closed whose calls still stand."""
         return None if self.kill_at is None else self.kill_at - CLOSED_BEFORE_KILL
 
-    def closes_all(self, now: datetime) -> bool:
+    def closes_all_connections(self, now: datetime) -> bool:
         """Whether calls that stand keep no connection any more."""
         return self.close_at is not None and now >= self.close_at
 
-    def over(self, now: datetime) -> bool:
+    def is_past_deadline(self, now: datetime) -> bool:
         """Whether the process has to go, whatever is left."""
         return self.kill_at is not None and now >= self.kill_at - GONE_BEFORE_KILL
--- a/reedmount/core/switch.py
+++ b/reedmount/core/switch.py
@@ -12,7 +12,17 @@
 from reedmount.core.checks import COUNTERS, invariant, log
 from reedmount.core.clock import ZERO, Clock, micros, span, span_micros, whole_millis
 from reedmount.core.lifecycle import Lifecycle, Need
-from reedmount.core.ports import CUT, NORMAL, Caller, Keeper, Listed, Offer, Progress, Servers, Setup
+from reedmount.core.ports import (
+    CUT,
+    NORMAL,
+    Caller,
+    CallRecorder,
+    ListedServer,
+    Offer,
+    Progress,
+    Servers,
+    Setup,
+)
 
 NO_REPORT = i.LoadReport()
 REMEMBERED = 4096  # names of calls that are over
@@ -55,18 +65,18 @@
         self._over: dict[str, None] = {}  # names that are over: a server repeats its releases
         self._unsent: dict[int, datetime] = {}  # calls of which no attempt went out yet, oldest first
         self._reports: dict[str, i.LoadReport] = {}  # of this turn
-        self.keeper: Keeper | None = None
+        self.recorder: CallRecorder | None = None
         self.on_attempt: Callable[[str, i.Outcome | None], None] | None = None  # None: it was sent
 
     def attach(self, servers: Servers) -> None:
         """Name the server side."""
         self._servers = servers
 
-    def on_orphan(self, released: Callable[[str, int], None]) -> None:
+    def on_unknown_release(self, released: Callable[[str, int], None]) -> None:
         """Have a front told of the release of a call that is not known here (we have restarted since)."""
         self._orphans.append(released)
 
-    def settle(self, settings: i.Settings) -> None:
+    def apply_settings(self, settings: i.Settings) -> None:
         """Go by new settings from now on; the calls that are here go on as they are.
 
         A class that is dropped lives until the last call is answered that came in under it.
@@ -78,7 +88,7 @@
         self.classes = {**self._leaving, **fresh}
         self._inbox.post(replace(settings, classes=(*settings.classes, *self._leaving.values())))
 
-    def knows(self, name: str) -> bool:
+    def has_call(self, name: str) -> bool:
         """Whether a call of this name is here, or was lately."""
         return name in self._by_name or name in self._over
 
@@ -88,12 +98,12 @@
         return self._clock
 
     @property
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no call is open or standing."""
         return not self._by_number
 
     @property
-    def figures(self) -> dict[str, int]:
+    def call_counts(self) -> dict[str, int]:
         """What is here, for the staff."""
         open_calls = self.unanswered
         return {"open": open_calls, "standing": sum(call.standing for call in self._by_number.values())}
@@ -104,7 +114,7 @@
         return sum(not call.gone for call in self._by_number.values())
 
     @property
-    def waiting(self) -> timedelta:
+    def oldest_wait(self) -> timedelta:
         """How long the oldest call has waited of which no attempt went out yet."""
         if not self._unsent:
             return ZERO
@@ -122,8 +132,8 @@
         self._next += 1
         self._by_number[call.number] = self._by_name[offer.name] = call
         self._unsent[call.number] = call.taken_at
-        if self.keeper is not None:
-            self.keeper.taken(offer, call.taken_at)
+        if self.recorder is not None:
+            self.recorder.call_offered(offer, call.taken_at)
         self._inbox.post(
             i.NewCall(
                 call=call.number,
@@ -138,7 +148,7 @@
         )
         return True
 
-    def caller_gone(self, name: str) -> None:
+    def caller_abandoned(self, name: str) -> None:
         """The caller stopped waiting: nothing more is owed, and what is out for it is stopped."""
         call = self._by_name.get(name)
         if call is None or call.gone:
@@ -146,11 +156,11 @@
         COUNTERS.add("calls.given_up")
         self._trace("call.given_up", call=name, attempts=call.attempts, server=call.server or "-")
         call.gone = True  # dropped once the module knows, lest it counts a set-up that was never sent
-        self._inbox.post(i.CallerGone(call.number))
+        self._inbox.post(i.CallerAbandoned(call.number))
         if call.out is not None:
             self._side.cancel(name, call.out)
 
-    def answer_all(self) -> None:
+    def answer_all_pending(self) -> None:
         """The end is near: whoever still waits hears now that nothing comes of it, and may call again."""
         for call in [call for call in self._by_number.values() if not call.gone]:
             COUNTERS.add("answered.at_the_end")
@@ -160,7 +170,7 @@
         """Nothing comes of it any more, whatever the module would still try: the answer, and word to all."""
         name, kind = call.offer.name, self.classes[call.offer.call_class]
         harmless = not call.attempts or kind.effect is i.Effect.REPEATABLE
-        self._inbox.post(i.CallerGone(call.number))
+        self._inbox.post(i.CallerAbandoned(call.number))
         if harmless:
             self._answer(call, "refused", reason, lambda call: call.caller.refused(name, ZERO))
         else:
@@ -182,7 +192,7 @@
 
     # --- from the server side ---
 
-    def stands(self, name: str, attempt: int, description: bytes) -> bool:
+    def established(self, name: str, attempt: int, description: bytes) -> bool:
         """An attempt was answered. False where it is dead: the server side releases it."""
         call = self._by_name.get(name)
         if call is None or call.out != attempt:
@@ -204,10 +214,10 @@
                     after_ms=whole_millis(delay))  # fmt: skip
         self._look_at_the_clock(call, "stands")
         call.caller.answered(name, description)
-        self._inbox.post(i.CallStands(call.number, call.attempts - 1, call.server, span_micros(delay)))
+        self._inbox.post(i.CallEstablished(call.number, call.attempts - 1, call.server, span_micros(delay)))
         return True
 
-    def goes_on(self, name: str, server: str) -> bool:
+    def defer_release(self, name: str, server: str) -> bool:
         """Whether a call that an attempt given up at ``server`` was answered for is open or stands elsewhere.
 
         A release names the call and would cut that one: it is sent to that server once the call is over.
@@ -229,7 +239,7 @@
             COUNTERS.add("progress.told")
         call.caller.progressed(name, progress, description)
 
-    def ended(
+    def attempt_ended(
         self,
         name: str,
         attempt: int,
@@ -301,7 +311,7 @@
         call.caller.released(call.offer.name, CUT)
         self._end_standing(call, i.Outcome.RESET, NO_REPORT)
 
-    def cut(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         """A call that stands is ended towards both sides, whatever else did so: another has it now."""
         call = self._by_name.get(name)
         if call is not None and call.standing:
@@ -310,21 +320,21 @@
             self._side.release(call.server, name, CUT)
             self._end_standing(call, i.Outcome.RESET, NO_REPORT)
 
-    def reported(self, server: str, report: i.LoadReport) -> None:
+    def load_reported(self, server: str, report: i.LoadReport) -> None:
         """A server told of its free lines unasked; those that tell in one turn go to the module as one."""
         if not self._reports:
-            self._loop.soon(self._tell_reports)
+            self._loop.call_soon(self._tell_reports)
         self._reports[server] = report
 
     def _tell_reports(self) -> None:
         reports, self._reports = self._reports, {}
-        self._inbox.post(i.Reports(tuple(reports.items())))
+        self._inbox.post(i.LoadReports(tuple(reports.items())))
 
-    def pool(self, version: int, kind: i.ListKind, entries: list[Listed]) -> None:
+    def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
         """News of the pool: to the server side first, so that nothing queued there goes to a drain."""
         self._trace("list.changed", version=version, kind=kind.value, servers=len(entries),
                     leaving=sum(not entry.serving for entry in entries))  # fmt: skip
-        self._side.listed(entries)
+        self._side.servers_changed(entries)
         told = tuple(
             i.ServerEntry(
                 server=entry.server,
@@ -336,7 +346,7 @@
             for entry in entries
         )
         self._inbox.post(i.ServerList(version, kind, told))
-        self.lifecycle.met(Need.SERVERS)
+        self.lifecycle.satisfy(Need.SERVERS)
 
     # --- the module ---
 
@@ -348,11 +358,11 @@
 
     def _handle(self, event: i.Event | i.Settings) -> None:
         if isinstance(event, i.Settings):
-            self._module.settle(event)
+            self._module.apply_settings(event)
             return
         for action in self._module.handle(micros(self._clock.now()), event):
             self._perform(action)
-        if isinstance(event, i.CallerGone):
+        if isinstance(event, i.CallerAbandoned):
             call = self._by_number.get(event.call)
             if call is not None and call.out is None and not call.standing:
                 self._drop(call)
@@ -373,7 +383,7 @@
             case i.FailCall(number, reason):
                 self._finish(number, "failed", reason.value, lambda call: call.caller.failed(call.offer.name))
             case i.SetTimer(name, after_us):
-                self._loop.after(span(after_us), lambda: self._inbox.post(i.TimerFired(name)))
+                self._loop.call_later(span(after_us), lambda: self._inbox.post(i.TimerFired(name)))
             case i.Log(text):
                 log(text, text.partition(" ")[2])  # without the server's name
             case i.Subscribe():
@@ -417,10 +427,12 @@
         self._trace(f"call.{what}", call=call.offer.name, attempts=call.attempts, server=call.server or "-",
                     reason=f'"{reason}"')  # fmt: skip
         self._look_at_the_clock(call, what)
-        if self.keeper is not None:
-            self.keeper.final(call.offer.name, what, call.attempts, call.server, lambda: answer(call))
+        if self.recorder is not None:
+            self.recorder.call_rejected(
+                call.offer.name, what, call.attempts, call.server, lambda: answer(call)
+            )
         self._settle(call)
-        if self.keeper is None:
+        if self.recorder is None:
             answer(call)
 
     def _look_at_the_clock(self, call: Call, what: str) -> None:
@@ -429,9 +441,11 @@
         now, offer = self._clock.now(), call.offer
         if now <= offer.answer_by:
             return
-        gone = offer.leaves_at is not None and now > offer.leaves_at
+        gone = offer.caller_gives_up_at is not None and now > offer.caller_gives_up_at
         COUNTERS.add("answered.after_caller" if gone else "answered.overdue")
-        late = now - (offer.leaves_at if gone and offer.leaves_at is not None else offer.answer_by)
+        late = now - (
+            offer.caller_gives_up_at if gone and offer.caller_gives_up_at is not None else offer.answer_by
+        )
         kind = "after its caller's time" if gone else "overdue"
         held = now - call.taken_at
         log(f"{kind}: {offer.name} {what} {late} late, taken {held} ago, attempts {call.attempts}", kind)
@@ -465,8 +479,8 @@
         self._inbox.post(self._end_event(call, call.attempts - 1, call.server, outcome, cause, report))
 
     def _end_standing(self, call: Call, outcome: i.Outcome, report: i.LoadReport) -> None:
-        if self.keeper is not None:
-            self.keeper.ended(call.offer.name, outcome.value)
+        if self.recorder is not None:
+            self.recorder.call_ended(call.offer.name, outcome.value)
         self._post_end(call, outcome, i.Cause.NONE, report)
         self._drop(call)
 
@@ -488,8 +502,8 @@
             del self._leaving[name], self.classes[name]
 
     def _drop(self, call: Call) -> None:
-        if self.keeper is not None:
-            self.keeper.dropped(call.offer.name, call.attempts, call.server)
+        if self.recorder is not None:
+            self.recorder.call_forgotten(call.offer.name, call.attempts, call.server)
         for server in sorted(call.also_at):
             self._side.release(server, call.offer.name, CUT)
         self._remember(call.offer.name)
@@ -500,7 +514,7 @@
             del self._by_name[call.offer.name]
 
 
-def _state(entry: Listed) -> i.ServerState:
+def _state(entry: ListedServer) -> i.ServerState:
     if entry.removed:
         return i.ServerState.REMOVED
     if entry.standby:
--- a/reedmount/dns/answers.py
+++ b/reedmount/dns/answers.py
@@ -10,7 +10,7 @@
 
 from reedmount.dns.reader import Question, Record, Reply, Target
 
-CHAIN_MOST = 8  # CNAMEs from the name asked for to one that has the records
+MAX_CHAIN = 8  # CNAMEs from the name asked for to one that has the records
 ADDRESS_TYPES = (dns.rdatatype.A, dns.rdatatype.AAAA)
 
 
@@ -74,7 +74,7 @@
         if not isinstance(record.data, str):
             return Fault.UNREADABLE
         name, ttl = record.data, min(ttl, record.ttl)
-        if name in way or len(way) > CHAIN_MOST:
+        if name in way or len(way) > MAX_CHAIN:
             return Fault.CHAIN
         way.append(name)
     found = [item for item in reply.answer if item.rdtype == question.rdtype and item.name == name]
--- a/reedmount/dns/cache.py
+++ b/reedmount/dns/cache.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class CacheLimits:
     """Lifetimes and room. The floor spares name servers whose TTL is 0, the ceiling forgets absurd ones."""
 
     floor: timedelta = timedelta(seconds=1)
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class CachedAnswer:
     """An answer, when its lifetime ends, and its bytes as estimated."""
 
     answer: Answer
@@ -39,16 +39,16 @@
 class Cache:
     """By question; what was not asked for longest goes first when room runs out."""
 
-    def __init__(self, bounds: Bounds) -> None:
-        self.bounds = bounds
-        self._kept: OrderedDict[Question, Kept] = OrderedDict()
+    def __init__(self, limits: CacheLimits) -> None:
+        self.limits = limits
+        self._kept: OrderedDict[Question, CachedAnswer] = OrderedDict()
         self.memory = 0
 
     def __len__(self) -> int:
         """How many answers are kept."""
         return len(self._kept)
 
-    def get(self, now: datetime, question: Question) -> Kept | None:
+    def get(self, now: datetime, question: Question) -> CachedAnswer | None:
         """An answer whose lifetime still runs."""
         kept = self._kept.get(question)
         if kept is None:
@@ -59,16 +59,16 @@
         self._kept.move_to_end(question)
         return kept
 
-    def put(self, now: datetime, question: Question, answer: Answer) -> Kept:
+    def put(self, now: datetime, question: Question, answer: Answer) -> CachedAnswer:
         """Keep an answer; one that is larger than all the room there is goes by without being kept."""
         cost = ENTRY_BYTES + RECORD_BYTES * answer.records
-        kept = Kept(answer, now + self.bounds.lifetime(answer.ttl), cost)
+        kept = CachedAnswer(answer, now + self.limits.lifetime(answer.ttl), cost)
         if question in self._kept:
             self._drop(question)
-        if kept.cost > self.bounds.memory or not self.bounds.entries:
+        if kept.cost > self.limits.memory or not self.limits.entries:
             COUNTERS.add("dns.cache.too_large")
             return kept
-        while len(self._kept) >= self.bounds.entries or self.memory + kept.cost > self.bounds.memory:
+        while len(self._kept) >= self.limits.entries or self.memory + kept.cost > self.limits.memory:
             self._drop(next(iter(self._kept)))
             COUNTERS.add("dns.cache.pushed_out")
         self._kept[question] = kept
--- a/reedmount/dns/health.py
+++ b/reedmount/dns/health.py
@@ -71,7 +71,7 @@
         """Tries in a row over UDP that brought nothing."""
         return self.ways[Over.UDP].failed
 
-    def way(self, chance: random.Random) -> Over:
+    def way(self, rng: random.Random) -> Over:
         """UDP while datagrams get through; else the way over which something came back last, so that an
         outage of the name server itself, when both fail, leaves its way as it was; now and then the other."""
         udp, tcp = self.ways[Over.UDP], self.ways[Over.TCP]
@@ -81,7 +81,7 @@
                 better = Over.TCP if tcp.failed < udp.failed else Over.UDP
             elif udp.through_at is None or tcp.through_at is not None and tcp.through_at >= udp.through_at:
                 better = Over.TCP
-        if (udp.failed or tcp.failed) and chance.random() < OTHER_WAY_AGAIN:
+        if (udp.failed or tcp.failed) and rng.random() < OTHER_WAY_AGAIN:
             return better.other
         return better
 
@@ -89,11 +89,11 @@
 class NameServers:
     """All that may be asked."""
 
-    def __init__(self, addresses: Collection[Address], chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, addresses: Collection[Address], rng: random.Random) -> None:
+        self._rng = rng
         self.all = {address: NameServer(address) for address in addresses}
 
-    def settle(self, addresses: Collection[Address]) -> None:
+    def set_addresses(self, addresses: Collection[Address]) -> None:
         """Other ones from now on; of those that stay, what is known stays."""
         self.all = {address: self.all.get(address) or NameServer(address) for address in addresses}
 
@@ -167,4 +167,4 @@
     def _rest(self, now: datetime, server: NameServer) -> None:
         doubled = min(max(server.failures - 1, 0), 16)
         server.rest_from, server.rest = now, FIRST_REST * 2.0**doubled
-        server.jitter = self._chance.uniform(*JITTER)
+        server.jitter = self._rng.uniform(*JITTER)
--- a/reedmount/dns/query.py
+++ b/reedmount/dns/query.py
@@ -12,12 +12,12 @@
 from reedmount.net.connection import Address
 
 WAY_FAULTS = frozenset({Fault.LOST, Fault.UNREACHABLE, Fault.HALF})  # nothing came back: the way, or the NS
-TRIAL_LEAST = timedelta(milliseconds=100)  # a trial waits four times what the name server took, and no less
+MIN_TRIAL = timedelta(milliseconds=100)  # a trial waits four times what the name server took, and no less
 TRIAL_TIMES = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class QueryTimeouts:
     """How long a question and its tries may take."""
 
     deadline: timedelta = timedelta(seconds=5)
@@ -47,20 +47,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GivenUp:
+class LookupFailed:
     """The end, without an answer."""
 
     why: str
 
 
 @dataclass(slots=True)
-class Asking:
+class Query:
     """A question that is out. ``next`` after each end of a try, until it was answered or is given up."""
 
     began: datetime
     health: NameServers
-    patience: Patience
-    chance: random.Random
+    timeouts: QueryTimeouts
+    rng: random.Random
     tries: int = 0
     last: Fault = Fault.LOST
     _lost: dict[Address, int] = field(default_factory=dict)
@@ -74,12 +74,12 @@
     @property
     def ends(self) -> datetime:
         """When it is given up whatever is under way."""
-        return self.began + self.patience.deadline
+        return self.began + self.timeouts.deadline
 
-    def next(self, now: datetime) -> Try | Pause | GivenUp:
+    def next(self, now: datetime) -> Try | Pause | LookupFailed:
         """What to do now that nothing is under way."""
         if now >= self.ends:
-            return GivenUp(f"{self.last.value} within {self.patience.deadline.total_seconds():g} s")
+            return LookupFailed(f"{self.last.value} within {self.timeouts.deadline.total_seconds():g} s")
         if self._again is not None:
             (server, over), self._again = self._again, None
             return self._try(now, server, over)
@@ -94,11 +94,11 @@
             # All had their turn: another round after a pause.
             self._passed.clear()
             self._rounds += 1
-            pause = self.patience.pause * 2.0 ** min(self._rounds - 1, 8) * self.chance.uniform(0.75, 1.25)
+            pause = self.timeouts.pause * 2.0 ** min(self._rounds - 1, 8) * self.rng.uniform(0.75, 1.25)
             return Pause(min(now + pause, self.ends))
         due = self.health.next_due(now)
         if due is None or due >= self.ends:
-            return GivenUp("all name servers are dead, and none is due for a trial")
+            return LookupFailed("all name servers are dead, and none is due for a trial")
         return Pause(max(due, now + timedelta(milliseconds=1)))
 
     def failed(self, now: datetime, tried: Try, fault: Fault) -> None:
@@ -138,18 +138,18 @@
         repeated = sum(self._lost.values()) >= TCP_AFTER and self._lost.get(server)
         if repeated and not known.ways[Over.TCP].failed:
             return Over.TCP
-        return known.way(self.chance)
+        return known.way(self.rng)
 
     def _try(self, now: datetime, server: Address, over: Over) -> Try:
         self.tries += 1
         self._ways.setdefault(server, set()).add(over)
-        wait = self.patience.tcp
+        wait = self.timeouts.tcp
         if over is Over.UDP:
-            wait = min(self.patience.first * 2.0 ** min(self._rounds, 8), self.patience.longest)
-            wait *= self.chance.uniform(0.8, 1.2)
+            wait = min(self.timeouts.first * 2.0 ** min(self._rounds, 8), self.timeouts.longest)
+            wait *= self.rng.uniform(0.8, 1.2)
         known = self.health.all.get(server)
         if server in self._trials and known is not None:
             # One that has failed costs the question that tries it little: it answered in so much before.
-            wait = min(wait, max(TRIAL_LEAST, TRIAL_TIMES * timedelta(seconds=known.taken_s)))
+            wait = min(wait, max(MIN_TRIAL, TRIAL_TIMES * timedelta(seconds=known.taken_s)))
         wait = min(wait, self.ends - now)
         return Try(server, over, secrets.randbelow(65536), server not in self._plain, wait, now)
--- a/reedmount/dns/reader.py
+++ b/reedmount/dns/reader.py
@@ -19,7 +19,7 @@
 import dns.rdatatype
 import dns.wire
 
-RECORDS_MOST = 4000
+MAX_RECORDS = 4000
 SLICE = 24  # records between two looks at the rest of the program
 HEADER = struct.Struct("!HHHHHH")
 TOP_BIT = 1 << 31
@@ -95,7 +95,7 @@
     return name.to_text().lower()
 
 
-def head(wire: bytes) -> Reply:
+def read_head(wire: bytes) -> Reply:
     """The header and the question alone: enough to tell whether it is an answer to what was asked."""
     try:
         reply, _, _ = _head(wire)
@@ -104,11 +104,11 @@
     return reply
 
 
-def read(wire: bytes) -> Generator[None, None, Reply]:
+def read_reply(wire: bytes) -> Generator[None, None, Reply]:
     """The whole message; yields after each slice of records. Raises ReadError."""
     try:
         reply, parser, counts = _head(wire)
-        if sum(counts) > RECORDS_MOST:
+        if sum(counts) > MAX_RECORDS:
             raise ReadError(f"{sum(counts)} records")
         done = 0
         sections = (reply.answer, reply.authority, reply.additional)
--- a/reedmount/dns/resolver.py
+++ b/reedmount/dns/resolver.py
@@ -14,22 +14,22 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS
 from reedmount.dns.answers import Answer, Fault, Onwards, meaning
-from reedmount.dns.cache import Bounds, Cache
+from reedmount.dns.cache import Cache, CacheLimits
 from reedmount.dns.health import NameServers, Over
-from reedmount.dns.query import Asking, GivenUp, Patience, Pause, Try
-from reedmount.dns.reader import Question, ReadError, Reply, head, query, read
-from reedmount.net.connection import Address, Connection, End, family_of
+from reedmount.dns.query import LookupFailed, Pause, Query, QueryTimeouts, Try
+from reedmount.dns.reader import Question, ReadError, Reply, query, read_head, read_reply
+from reedmount.net.connection import Address, Connection, EndReason, address_family
 from reedmount.net.loop import READ, Loop
 
 PAYLOAD = 1232  # bytes of a datagram that no path has to split
 LONGEST = 65535
-FLIGHTS_MOST = 8  # what comes in one turn has to be read in it
-STARTS_MOST = 4  # in a turn: to build a question and open its socket takes some 0.2 ms
-WAITING_MOST = 8192
+MAX_FLIGHTS = 8  # what comes in one turn has to be read in it
+MAX_STARTS = 4  # in a turn: to build a question and open its socket takes some 0.2 ms
+MAX_WAITING = 8192
 LARGE = 128  # records: what they mean is looked at in a turn of its own
 BETWEEN_SLICES = timedelta(milliseconds=1)
-DATAGRAMS_MOST = 8  # read from one socket in a turn: a flood waits its turn like all others
-Done = Callable[[Answer | GivenUp], None]
+MAX_DATAGRAMS = 8  # read from one socket in a turn: a flood waits its turn like all others
+Done = Callable[[Answer | LookupFailed], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,47 +37,47 @@
     """Who is asked, and with how much patience and room."""
 
     servers: tuple[Address, ...]
-    patience: Patience = field(default_factory=Patience)
-    bounds: Bounds = field(default_factory=Bounds)
+    timeouts: QueryTimeouts = field(default_factory=QueryTimeouts)
+    limits: CacheLimits = field(default_factory=CacheLimits)
 
 
 class Resolver:
     """One question in flight a name and type; all who ask for it meanwhile hear the same answer."""
 
-    def __init__(self, loop: Loop, settings: ResolverSettings, chance: random.Random) -> None:
-        self.loop, self.settings, self.chance = loop, settings, chance
-        self.health = NameServers(settings.servers, chance)
-        self.cache = Cache(settings.bounds)
+    def __init__(self, loop: Loop, settings: ResolverSettings, rng: random.Random) -> None:
+        self.loop, self.settings, self.rng = loop, settings, rng
+        self.health = NameServers(settings.servers, rng)
+        self.cache = Cache(settings.limits)
         self._flights: dict[Question, Flight] = {}
         self._waiting: dict[Question, list[Done]] = {}
         self._queue: deque[Question] = deque()
         self._starting = False
 
-    def settle(self, settings: ResolverSettings) -> None:
+    def apply_settings(self, settings: ResolverSettings) -> None:
         """Go by other settings; questions that are out go on as they were begun."""
         self.settings = settings
-        self.health.settle(settings.servers)
-        self.cache.bounds = settings.bounds
+        self.health.set_addresses(settings.servers)
+        self.cache.limits = settings.limits
 
     @property
     def flying(self) -> int:
         """How many questions are out."""
         return len(self._flights)
 
-    def ask(self, question: Question, done: Done, fresh: bool = False) -> None:
+    def resolve(self, question: Question, done: Done, fresh: bool = False) -> None:
         """Have a question answered: from the cache, unless it must be fresh, else from the net."""
         kept = None if fresh else self.cache.get(self.loop.clock.now(), question)
         if kept is not None:
             COUNTERS.add("dns.cache.hits")
-            self.loop.soon(lambda: done(kept.answer))
+            self.loop.call_soon(lambda: done(kept.answer))
             return
         waiting = self._waiting.get(question)
         if waiting is not None:
             waiting.append(done)
             return
-        if len(self._waiting) >= WAITING_MOST:
+        if len(self._waiting) >= MAX_WAITING:
             COUNTERS.add("dns.no_room")
-            self.loop.soon(lambda: done(GivenUp("too many questions at once")))
+            self.loop.call_soon(lambda: done(LookupFailed("too many questions at once")))
             return
         self._waiting[question] = [done]
         self._queue.append(question)
@@ -91,7 +91,7 @@
             flight.close()
         self._flights.clear()
 
-    def ended(self, question: Question, result: Answer | GivenUp) -> None:
+    def ended(self, question: Question, result: Answer | LookupFailed) -> None:
         """A question has come to its end."""
         del self._flights[question]
         if isinstance(result, Answer):
@@ -110,12 +110,12 @@
         for question, answer in islice(extra, LARGE):
             self.cache.put(now, question, answer)
         if length_hint(extra):
-            self.loop.after(BETWEEN_SLICES, lambda: self._keep(now, extra))
+            self.loop.call_later(BETWEEN_SLICES, lambda: self._keep(now, extra))
 
     def _start_some(self) -> None:
         """As many as there is room for, a few in each turn."""
-        for _ in range(STARTS_MOST):
-            if not self._queue or len(self._flights) >= FLIGHTS_MOST:
+        for _ in range(MAX_STARTS):
+            if not self._queue or len(self._flights) >= MAX_FLIGHTS:
                 return
             question = self._queue.popleft()
             flight = self._flights[question] = Flight(self, question)
@@ -123,7 +123,7 @@
             flight.go_on()
         if self._queue and not self._starting:
             self._starting = True
-            self.loop.after(BETWEEN_SLICES, self._start_more)
+            self.loop.call_later(BETWEEN_SLICES, self._start_more)
 
     def _start_more(self) -> None:
         self._starting = False
@@ -146,10 +146,10 @@
         self._timer: Timer | None = None
         self._closed = False
 
-    def _begin(self) -> Asking:
+    def _begin(self) -> Query:
         settings = self._resolver.settings
         now = self._loop.clock.now()
-        return Asking(now, self._resolver.health, settings.patience, self._resolver.chance)
+        return Query(now, self._resolver.health, settings.timeouts, self._resolver.rng)
 
     def go_on(self) -> None:
         """Do what is to be done next."""
@@ -158,8 +158,8 @@
             case Try():
                 self._send(step)
             case Pause(until):
-                self._timer = self._loop.at(until, self.go_on)
-            case GivenUp():
+                self._timer = self._loop.call_at(until, self.go_on)
+            case LookupFailed():
                 self._end(step)
 
     def close(self) -> None:
@@ -171,7 +171,7 @@
 
     def _send(self, step: Try) -> None:
         self._try = step
-        self._timer = self._loop.after(step.wait, lambda: self._fault(Fault.LOST))
+        self._timer = self._loop.call_later(step.wait, lambda: self._fault(Fault.LOST))
         wire = query(step.id, self._question, PAYLOAD if step.edns else None)
         COUNTERS.add(f"dns.sent.{step.over.value}")
         if step.over is Over.TCP:
@@ -182,18 +182,18 @@
             self._connection.send(len(wire).to_bytes(2, "big") + wire)
             return
         # A socket for this try alone: the system draws its port and drops what comes from elsewhere.
-        sock = self._sock = socket.socket(family_of(step.server), socket.SOCK_DGRAM)
+        sock = self._sock = socket.socket(address_family(step.server), socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
             sock.connect(step.server)
             sock.send(wire)
         except OSError:
-            self._loop.soon(lambda: self._fault(Fault.UNREACHABLE) if self._try is step else None)
+            self._loop.call_soon(lambda: self._fault(Fault.UNREACHABLE) if self._try is step else None)
             return
         self._loop.watch(sock.fileno(), READ, self._readable)
 
     def _readable(self, _: int) -> None:
-        for _turn in range(DATAGRAMS_MOST):
+        for _turn in range(MAX_DATAGRAMS):
             if self._sock is None:
                 return
             try:
@@ -215,9 +215,9 @@
                 if not self._heard(wire):
                     self._fault(Fault.UNREADABLE)  # nobody else can write into this connection
 
-    def _stream_ended(self, connection: Connection, how: End) -> None:
+    def _stream_ended(self, connection: Connection, how: EndReason) -> None:
         if connection is self._connection:
-            unreachable = how in (End.REFUSED, End.NEVER_UP)
+            unreachable = how in (EndReason.REFUSED, EndReason.NEVER_UP)
             self._fault(Fault.UNREACHABLE if unreachable else Fault.HALF)
 
     def _heard(self, wire: bytes) -> bool:
@@ -225,7 +225,7 @@
         if self._try is None:
             return False
         try:
-            reply = head(wire)
+            reply = read_head(wire)
         except ReadError:
             COUNTERS.add("dns.dropped.unreadable")
             return False
@@ -237,7 +237,7 @@
             return False
         if reply.question is None and reply.rcode:
             # Some refuse without repeating the question; it says nothing but that.
-            self._read(read(wire))
+            self._read(read_reply(wire))
             return True
         if reply.question != self._question:
             COUNTERS.add("dns.dropped.question")
@@ -245,7 +245,7 @@
         if reply.cut:
             self._fault(Fault.CUT)
         else:
-            self._read(read(wire))
+            self._read(read_reply(wire))
         return True
 
     def _read(self, reading: Generator[None, None, Reply]) -> None:
@@ -263,11 +263,11 @@
                 if len(reply.answer) < LARGE:
                     self._meant(reply)
                 else:
-                    self._timer = self._loop.after(BETWEEN_SLICES, lambda: self._meant(reply))
+                    self._timer = self._loop.call_later(BETWEEN_SLICES, lambda: self._meant(reply))
             except ReadError:
                 self._fault(Fault.UNREADABLE)
             else:
-                self._timer = self._loop.after(BETWEEN_SLICES, more)
+                self._timer = self._loop.call_later(BETWEEN_SLICES, more)
 
         more()
 
@@ -298,7 +298,7 @@
             return
         COUNTERS.add(f"dns.fault.{fault.name.lower()}")
         if fault is Fault.CHAIN:
-            self._end(GivenUp(fault.value))
+            self._end(LookupFailed(fault.value))
             return
         self._asking.failed(self._loop.clock.now(), tried, fault)
         self.go_on()
@@ -315,6 +315,6 @@
             connection, self._connection = self._connection, None
             connection.close()
 
-    def _end(self, result: Answer | GivenUp) -> None:
+    def _end(self, result: Answer | LookupFailed) -> None:
         self.close()
         self._resolver.ended(self._first, result)
--- a/reedmount/dns/srv_lookup.py
+++ b/reedmount/dns/srv_lookup.py
@@ -15,9 +15,9 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.dns.answers import Answer
-from reedmount.dns.cache import Bounds
+from reedmount.dns.cache import CacheLimits
 from reedmount.dns.reader import Question, Target
-from reedmount.pool.claims import Claim, Place
+from reedmount.pool.claims import Claim, Endpoint
 
 SLICE = 128  # targets between two looks at the rest of the program
 AHEAD = 0.9  # of a lifetime: then it is asked again, so that it need not lapse
@@ -26,19 +26,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retry:
+class RetryPolicy:
     """After a round that failed: with each failure in a row twice as long, up to a bound."""
 
     first: timedelta = timedelta(seconds=2)
     longest: timedelta = timedelta(seconds=10)  # bounds how late a drain is heard after an outage
 
-    def after(self, failures: int, chance: random.Random) -> timedelta:
+    def after(self, failures: int, rng: random.Random) -> timedelta:
         """The next pause."""
-        return min(self.first * 2.0 ** min(failures - 1, 16), self.longest) * chance.uniform(0.75, 1.25)
+        return min(self.first * 2.0 ** min(failures - 1, 16), self.longest) * rng.uniform(0.75, 1.25)
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class LookupResult:
     """A round that ended well: everything that the name says, and how long that holds."""
 
     claims: tuple[Claim, ...]
@@ -46,22 +46,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class RoundFailed:
     """A round that says nothing."""
 
     why: str
 
 
 @dataclass(slots=True)
-class Watch:
+class SrvLookup:
     """One SRV name. ``begin`` when it is due; then answers go in until the round is over."""
 
     name: str
     transport: str
-    bounds: Bounds
-    retry: Retry
+    limits: CacheLimits
+    retry: RetryPolicy
     ipv6: bool
-    chance: random.Random
+    rng: random.Random
     due_at: datetime | None = None  # None while a round is under way
     failures: int = 0
     ending: bool = False  # all is there, and what the name says is being put together
@@ -69,7 +69,7 @@
     _ttl: timedelta = timedelta(0)
     _asked: set[Question] = field(default_factory=set)  # addresses that are still out
     _found: dict[Question, Answer | None] = field(default_factory=dict)  # None: could not be learnt
-    _last: dict[Target, Place] = field(default_factory=dict)  # by target, as the last round had it
+    _last: dict[Target, Endpoint] = field(default_factory=dict)  # by target, as the last round had it
 
     @property
     def question(self) -> Question:
@@ -91,7 +91,7 @@
     def heard(self, now: datetime, answer: Answer) -> list[Question]:
         """The records of the name; returns the addresses that did not come along."""
         self._targets = tuple(target for target in answer.targets if target.host != ".")
-        self._ttl = self.bounds.lifetime(answer.ttl)
+        self._ttl = self.limits.lifetime(answer.ttl)
         wanted = self.addresses(answer)
         extra = answer.extra
         self._found = {question: extra[question] for question in wanted if question in extra}
@@ -115,10 +115,10 @@
         """Whether nothing is out any more."""
         return self.due_at is None and not self._asked
 
-    def ends(self, now: datetime) -> Generator[None, None, Heard]:
+    def ends(self, now: datetime) -> Generator[None, None, LookupResult]:
         """All is there, or as far as it could be learnt: what the name says. Yields after each slice."""
         claims: list[Claim] = []
-        last: dict[Target, Place] = {}
+        last: dict[Target, Endpoint] = {}
         lifetimes = [self._ttl]
         for done, target in enumerate(self._targets, 1):
             if done % SLICE == 0:
@@ -135,16 +135,16 @@
             last[target] = (host, target.port)
             claims.append(self._claim(target, host))
         self._last, self.failures = last, 0
-        fresh_for = max(min(lifetimes), self.bounds.floor)
-        self.due_at = now + fresh_for * AHEAD * (1 - JITTER * self.chance.random())
-        return Heard(tuple(claims), fresh_for)
+        fresh_for = max(min(lifetimes), self.limits.floor)
+        self.due_at = now + fresh_for * AHEAD * (1 - JITTER * self.rng.random())
+        return LookupResult(tuple(claims), fresh_for)
 
-    def failed(self, now: datetime, why: str) -> Failed:
+    def failed(self, now: datetime, why: str) -> RoundFailed:
         """The name's records could not be learnt."""
         self.failures += 1
-        self.due_at = now + self.retry.after(self.failures, self.chance)
+        self.due_at = now + self.retry.after(self.failures, self.rng)
         self._asked = set()
-        return Failed(why)
+        return RoundFailed(why)
 
     def _host(self, target: Target, lifetimes: list[timedelta]) -> tuple[str | None, bool]:
         """The target's address, and whether one may be there that could not be learnt.
@@ -160,13 +160,13 @@
                 if kind is A and target in self._last and ":" not in self._last[target][0]:
                     return None, True  # it was reached over IPv4: it does not move for want of an answer
             elif answer.addresses:
-                lifetimes.append(self.bounds.lifetime(answer.ttl))
+                lifetimes.append(self.limits.lifetime(answer.ttl))
                 return answer.addresses[0], False
         return None, unknown
 
     def _claim(self, target: Target, host: str) -> Claim:
         return Claim(
-            place=(host, target.port),
+            endpoint=(host, target.port),
             name=target.host.rstrip("."),
             transport=self.transport,
             priority=target.priority,
--- a/reedmount/dns/zone.py
+++ b/reedmount/dns/zone.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class ZoneServer:
     """A call server that the zone names."""
 
     server: str
@@ -33,7 +33,7 @@
     weight: int
 
 
-def load(path: Path, origin: str | None) -> dns.zone.Zone:
+def load_zone(path: Path, origin: str | None) -> dns.zone.Zone:
     """Read a zone file; an error tells where it is."""
     try:
         text = path.read_text(encoding="utf-8")
@@ -73,16 +73,16 @@
     return line, why.strip()
 
 
-def save(zone: dns.zone.Zone, path: Path) -> None:
+def save_zone(zone: dns.zone.Zone, path: Path) -> None:
     """Write the zone back, whole or not at all."""
     beside = path.with_name(path.name + ".new")
     beside.write_text(zone.to_text(sorted=True, relativize=False), encoding="utf-8")
     os.replace(beside, path)
 
 
-def servers(zone: dns.zone.Zone, transports: Sequence[str]) -> dict[str, Found]:
+def zone_servers(zone: dns.zone.Zone, transports: Sequence[str]) -> dict[str, ZoneServer]:
     """The call servers by name. One that offers several transports is reached over the first of ours."""
-    found: dict[str, Found] = {}
+    found: dict[str, ZoneServer] = {}
     for transport in transports:
         owner = dns.name.from_text(f"_sip._{transport}", zone.origin)
         for record in zone.get_rdataset(owner, dns.rdatatype.SRV) or ():
@@ -94,6 +94,6 @@
             server = f"{str(record.target).rstrip('.')}:{record.port}"
             address = min(item.address for item in addresses)
             found.setdefault(
-                server, Found(server, (address, record.port), transport, record.priority, record.weight)
+                server, ZoneServer(server, (address, record.port), transport, record.priority, record.weight)
             )
     return found
--- a/reedmount/fronts/admin.py
+++ b/reedmount/fronts/admin.py
@@ -13,11 +13,11 @@
 from reedmount.core.actors import Actor
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.lifecycle import Lifecycle
-from reedmount.net.connection import Address, Connection, End, listen
+from reedmount.net.connection import Address, Connection, EndReason, listen
 from reedmount.net.loop import Loop
 
-VISITORS = 10  # at once: the one with the least claim goes when another comes
-DOOR_SOCKETS = VISITORS + 2  # with the listener and one that is being turned away
+MAX_ADMIN_CONNECTIONS = 10  # at once: the one with the least claim goes when another comes
+ADMIN_SOCKETS = MAX_ADMIN_CONNECTIONS + 2  # with the listener and one that is being turned away
 SILENT = timedelta(seconds=5)  # for a whole call
 TAKE_LEAVE = timedelta(seconds=1)  # for the caller to close after its answer
 LONGEST_BODY = 65536
@@ -29,32 +29,32 @@
 class Visitor:
     """The actor of one connection at the door."""
 
-    def __init__(self, door: Door, sock: socket.socket, order: int) -> None:
-        self._door, self.order = door, order
-        self._actor: Actor[Connection | End] = Actor(door.loop, self._handle)
+    def __init__(self, admin_server: AdminServer, sock: socket.socket, order: int) -> None:
+        self._admin_server, self.order = admin_server, order
+        self._actor: Actor[Connection | EndReason] = Actor(admin_server.loop, self._handle)
         self._http = h11.Connection(h11.SERVER)
         self._request: h11.Request | None = None
         self._body = 0
         self.answered = False
         self.connection = Connection(
-            door.loop, sock, self._actor.post, lambda _, how: self._actor.post(how), urgent=True
+            admin_server.loop, sock, self._actor.post, lambda _, how: self._actor.post(how), urgent=True
         )
         self.heard = False
-        self._timer = door.loop.after(SILENT, self.close)
+        self._timer = admin_server.loop.call_later(SILENT, self.close)
 
     def close(self) -> None:
         """Its time is up, or its place is needed."""
         self._timer.cancel()
         self.connection.close()
         self._actor.stop()
-        self._door.drop(self)
+        self._admin_server.drop(self)
 
     def claim(self) -> tuple[bool, bool, int]:
         """How much of a claim it has to its place: answered ones the least, then silent, then old ones."""
         return not self.answered, self.heard, self.order
 
-    def _handle(self, item: Connection | End) -> None:
-        if isinstance(item, End):
+    def _handle(self, item: Connection | EndReason) -> None:
+        if isinstance(item, EndReason):
             self.close()
             return
         ring = item.incoming
@@ -93,14 +93,14 @@
     def _call(self, request: h11.Request) -> None:
         target = urlsplit(request.target.decode("ascii"))
         path = target.path
-        method = self._door.methods.get(path)
+        method = self._admin_server.methods.get(path)
         if method is None:
-            self._answer(404, {"error": "no such call", "calls": sorted(self._door.methods)})
+            self._answer(404, {"error": "no such call", "calls": sorted(self._admin_server.methods)})
         elif request.method.decode("ascii") != method:
             self._answer(405, {"error": f"{path} takes {method}"}, (("Allow", method),))
         else:
             COUNTERS.add(f"door.{path.rpartition('/')[2]}")
-            self._answer(*self._door.called(path, dict(parse_qsl(target.query, max_num_fields=8))))
+            self._answer(*self._admin_server.called(path, dict(parse_qsl(target.query, max_num_fields=8))))
 
     def _answer(self, status: int, body: dict[str, object], extra: tuple[tuple[str, str], ...] = ()) -> None:
         """The answer; the connection closes after it, but not so hard that it is lost on its way."""
@@ -112,12 +112,12 @@
         answer = h11.Response(status_code=status, headers=headers)
         parts = (self._http.send(event) for event in (answer, h11.Data(data=text), h11.EndOfMessage()))
         self.connection.send(b"".join(part or b"" for part in parts))
-        self.connection.finish()
+        self.connection.finish_writing()
         self._timer.cancel()
-        self._timer = self._door.loop.after(TAKE_LEAVE, self.close)
+        self._timer = self._admin_server.loop.call_later(TAKE_LEAVE, self.close)
 
 
-class Door:
+class AdminServer:
     """The listener and its visitors. Silent ones are bounded, and crowd out nobody who has a call to make."""
 
     def __init__(
@@ -163,7 +163,7 @@
 
     def _accept(self, sock: socket.socket) -> None:
         COUNTERS.add("door.connections")
-        if len(self._visitors) >= VISITORS:
+        if len(self._visitors) >= MAX_ADMIN_CONNECTIONS:
             COUNTERS.add("door.crowded_out")
             min(self._visitors, key=Visitor.claim).close()
         self._count += 1
--- a/reedmount/fronts/board.py
+++ b/reedmount/fronts/board.py
@@ -14,13 +14,13 @@
 from reedmount.core.actors import Actor, Timer
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import EPOCH, millis, whole_millis
-from reedmount.core.ports import Listed
-from reedmount.net.connection import Address, Connection, End, address_of
+from reedmount.core.ports import ListedServer
+from reedmount.net.connection import Address, Connection, EndReason, parse_address
 from reedmount.net.loop import Loop
 
 LINGER = timedelta(milliseconds=1000)  # short, so that a board that has fallen silent is noticed
 SLACK = timedelta(milliseconds=400)  # beyond that, with nothing heard, an answer is given up
-MOST_SLACK = timedelta(milliseconds=1600)  # doubled by each silence in a row: a slow board is not silent
+MAX_SLACK = timedelta(milliseconds=1600)  # doubled by each silence in a row: a slow board is not silent
 LONGEST_POLL = timedelta(seconds=5)  # also for an answer that comes in ever more pieces
 RETRY = timedelta(milliseconds=100)
 CONNECT_WAIT = timedelta(milliseconds=500)
@@ -38,18 +38,18 @@
 
     number: int
     whole: bool
-    entries: tuple[Listed, ...]
+    entries: tuple[ListedServer, ...]
 
 
-def read_host(raw: Any) -> Listed:
+def read_host(raw: Any) -> ListedServer:
     """One call server in an event."""
     try:
         state, born = raw["health"], int(raw.get("born_ms") or 0)
         if state not in STATES:
             raise BoardError(f"unknown state {state!r}")
-        return Listed(
+        return ListedServer(
             server=str(raw["host"]),
-            address=address_of(raw["dial"]),
+            address=parse_address(raw["dial"]),
             number=int(raw["block"]),
             serving=state == "SERVING",
             removed=state == "DELETED",
@@ -73,19 +73,19 @@
         raise BoardError(f"{type(error).__name__} {error}") from None  # Infinity is a number to the reader
 
 
-class Told(Protocol):
+class PoolListener(Protocol):
     """Who is told of the pool's news: the core, or a pool of several sources."""
 
-    def pool(self, version: int, kind: i.ListKind, entries: list[Listed]) -> None:
+    def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
         """News of the pool."""
 
 
-class Pool:
+class BoardList:
     """The list as told so far; it turns events into news for the core, in order and each once."""
 
-    def __init__(self, switch: Told) -> None:
+    def __init__(self, switch: PoolListener) -> None:
         self._switch = switch
-        self._hosts: dict[str, Listed] = {}
+        self._hosts: dict[str, ListedServer] = {}
         self.last = 0
 
     def start(self, last: int, notices: list[Notice]) -> None:
@@ -93,7 +93,7 @@
         for notice in notices:
             self._merge(notice)
         self.last = max([last, *(notice.number for notice in notices)])
-        self._switch.pool(self.last, i.ListKind.SAVED, list(self._hosts.values()))
+        self._switch.pool_changed(self.last, i.ListKind.SAVED, list(self._hosts.values()))
 
     def take(self, last: int, notices: list[Notice]) -> bool:
         """News from the board; False where events are missing, and the caller asks for all of them."""
@@ -106,7 +106,7 @@
             changed = self._merge(notice)
             self.last = notice.number
             COUNTERS.add("board.events")
-            self._switch.pool(self.last, i.ListKind.CHANGES, changed)
+            self._switch.pool_changed(self.last, i.ListKind.CHANGES, changed)
         self.last = max(self.last, last)
         return True
 
@@ -116,19 +116,19 @@
         for notice in sorted(notices, key=lambda notice: notice.number):
             self._merge(notice)
         gone = [
-            Listed(old.server, old.address, old.number, False, True, old.started)
+            ListedServer(old.server, old.address, old.number, False, True, old.started)
             for old in before.values()
             if old.server not in self._hosts
         ]
         self.last = last
-        self._switch.pool(self.last, i.ListKind.CHANGES, [*gone, *self._hosts.values()])
+        self._switch.pool_changed(self.last, i.ListKind.CHANGES, [*gone, *self._hosts.values()])
 
-    def _merge(self, notice: Notice) -> list[Listed]:
+    def _merge(self, notice: Notice) -> list[ListedServer]:
         changed = list(notice.entries)
         if notice.whole:
             named = {entry.server for entry in changed}
             changed += [
-                Listed(old.server, old.address, old.number, False, True, old.started)
+                ListedServer(old.server, old.address, old.number, False, True, old.started)
                 for old in self._hosts.values()
                 if old.server not in named
             ]
@@ -156,11 +156,13 @@
     """The actor that polls the notice board."""
 
     def __init__(
-        self, loop: Loop, address: Address, pool: Pool, on_news: Callable[[], None] | None = None
+        self, loop: Loop, address: Address, pool: BoardList, on_news: Callable[[], None] | None = None
     ) -> None:
         self._on_news = on_news  # to be told once: then the first poll does not wait for later events
         self._loop, self._address, self._pool = loop, address, pool
-        self._actor: Actor[Tick | Silence | Connection | tuple[Connection, End]] = Actor(loop, self._handle)
+        self._actor: Actor[Tick | Silence | Connection | tuple[Connection, EndReason]] = Actor(
+            loop, self._handle
+        )
         self._connection: Connection | None = None
         self._http = h11.Connection(h11.CLIENT)
         self._body = bytearray()
@@ -186,7 +188,7 @@
         self._lose()
         self._actor.post(Tick())
 
-    def _handle(self, word: Tick | Silence | Connection | tuple[Connection, End]) -> None:
+    def _handle(self, word: Tick | Silence | Connection | tuple[Connection, EndReason]) -> None:
         match word:
             case Tick():
                 self._ask()
@@ -195,7 +197,7 @@
                     COUNTERS.add("board.silent")
                     waited = self._loop.clock.now() - self._asked_at
                     self._loop.trace("board.given_up", reason="silent", waited_ms=whole_millis(waited))
-                    self._slack = min(2 * self._slack, MOST_SLACK)
+                    self._slack = min(2 * self._slack, MAX_SLACK)
                     self._lose()
                     self._ask()
             case Connection():
@@ -206,7 +208,9 @@
                     self._loop.trace("board.lost", how=f'"{how.value}"')
                     was_up = self._asked and self._http.their_state is not h11.IDLE
                     self._lose()
-                    self._loop.after(RETRY if not was_up else RETRY / 4, lambda: self._actor.post(Tick()))
+                    self._loop.call_later(
+                        RETRY if not was_up else RETRY / 4, lambda: self._actor.post(Tick())
+                    )
 
     def _lose(self) -> None:
         if self._connection is not None:
@@ -226,7 +230,7 @@
             except OSError as error:
                 COUNTERS.add("board.no_socket")
                 log(f"board: {error}", "board.no_socket")
-                self._loop.after(RETRY, lambda: self._actor.post(Tick()))
+                self._loop.call_later(RETRY, lambda: self._actor.post(Tick()))
                 return
         after = 0 if self._whole else self._pool.last
         linger = 0 if self._whole or self._on_news is not None else LINGER // timedelta(milliseconds=1)
@@ -246,7 +250,7 @@
         if self._timer is not None:
             self._timer.cancel()
         latest = min(now + span, self._asked_at + LONGEST_POLL)
-        self._timer = self._loop.at(latest, lambda: self._actor.post(Silence(poll)))
+        self._timer = self._loop.call_at(latest, lambda: self._actor.post(Silence(poll)))
 
     def _hear(self, connection: Connection) -> None:
         if connection is not self._connection:
@@ -276,7 +280,7 @@
             log(f"board: {error}", "board.bad_answer")
             self._loop.trace("board.bad_answer")
             self._lose()
-            self._loop.after(RETRY, lambda: self._actor.post(Tick()))
+            self._loop.call_later(RETRY, lambda: self._actor.post(Tick()))
 
     def _answered(self) -> None:
         if self._status != 200:
--- a/reedmount/fronts/call_servers.py
+++ b/reedmount/fronts/call_servers.py
@@ -10,12 +10,12 @@
 from reedmount.core.actors import Actor
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import ZERO, whole_millis
-from reedmount.core.ports import CUT, CancelSetup, Listed, Release, Setup
+from reedmount.core.ports import CUT, CancelSetup, ListedServer, Release, Setup
 from reedmount.core.switch import NO_REPORT, Switch
 from reedmount.fronts.established_calls import StandingCalls
-from reedmount.fronts.server_connection import Attempt, Data, Down, Lane, Outgoing, Terms, Up
+from reedmount.fronts.server_connection import Attempt, ConnectionLimits, Data, Down, Lane, Outgoing, Up
 from reedmount.fronts.thin_protocol import CAUSES, ID, OUTCOMES, bye, cause_of, plain, report_of, sound, test
-from reedmount.net.connection import Address, End
+from reedmount.net.connection import Address, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.framing import next_message
 from reedmount.sip.message import Message, SipError, request, response
@@ -32,17 +32,17 @@
 START_LINES = (b"SIP/2.0 ", b"INVITE ", b"ACK ", b"BYE ", b"CANCEL ", b"OPTIONS ", b"NOTIFY ")
 
 
-Word = Setup | CancelSetup | Release | Listed | Up | Data | Down
+Word = Setup | CancelSetup | Release | ListedServer | Up | Data | Down
 
 
 class CallServer:
     """The actor of one call server: its lanes, what is queued for it and what is out there."""
 
     def __init__(
-        self, loop: Loop, switch: Switch, entry: Listed, side: CallServers, lanes: int = LANES
+        self, loop: Loop, switch: Switch, entry: ListedServer, side: CallServers, lanes: int = LANES
     ) -> None:
         self.loop, self._switch, self._entry = loop, switch, entry
-        self._side, self.terms = side, side.terms
+        self._side, self.limits = side, side.limits
         self._actor: Actor[Word] = Actor(loop, self._handle)
         self.post = self._actor.post
         self._lanes: list[Lane] = []
@@ -78,14 +78,14 @@
 
     def lose_unheard(self) -> None:
         """The process ends: calls at a server that is silent are over, since nobody else knows of them."""
-        if self.standing.server.first_asked_at is not None:
+        if self.standing.server.first_probe_at is not None:
             self.standing.lose("its server is silent and the process ends")
 
     # --- what its standing calls ask for ---
 
     def open_lanes(self) -> list[Lane]:
         """The connections that are up, those that are used no more as well."""
-        return [lane for lane in (*self._lanes, *self._retired) if lane.connection.up]
+        return [lane for lane in (*self._lanes, *self._retired) if lane.connection.connected]
 
     def test(self, lane: Lane) -> None:
         """Send a test: what comes back, whatever it is, shows that the connection works."""
@@ -96,15 +96,15 @@
         COUNTERS.add("server.lane_silent")
         self.loop.trace("server.connection_silent", server=self._entry.server, lane=lane.number)
         lane.connection.close()
-        self._down(lane, End.RESET)
+        self._down(lane, EndReason.RESET)
 
     def reconnect(self) -> None:
         """Nothing comes on any connection: set-ups go there no more, and a new one is tried."""
         COUNTERS.add("server.unheard")
-        silence = self.loop.clock.now() - self.standing.server.heard_at
+        silence = self.loop.clock.now() - self.standing.server.last_received_at
         self.loop.trace("server.unheard", server=self._entry.server, standing=len(self.standing),
                         silent_ms=whole_millis(silence))  # fmt: skip
-        for lane in [lane for lane in self._lanes if lane.connection.up]:
+        for lane in [lane for lane in self._lanes if lane.connection.connected]:
             self._retire(lane, "its server is silent")
         if not self._lanes and self._side.may_widen():
             self._dial()
@@ -137,7 +137,7 @@
                     self._call_off(attempt, i.Outcome.CANCELLED)
             case Release(name, cause):
                 self._release(name, cause)
-            case Listed():
+            case ListedServer():
                 self._news(word)
             case Up(lane):
                 self._up(lane)
@@ -148,7 +148,7 @@
 
     # --- the list ---
 
-    def _news(self, entry: Listed) -> None:
+    def _news(self, entry: ListedServer) -> None:
         known, self._entry = self._entry, entry
         if entry.started is not None and (known.started is None or entry.started > known.started):
             # A restart behind the same name: what stood at the old process is gone with it.
@@ -178,7 +178,7 @@
     # --- what goes out ---
 
     def _setup(self, setup: Setup) -> None:
-        timer = self.loop.after(setup.give_up, lambda: self._expire(setup))
+        timer = self.loop.call_later(setup.give_up, lambda: self._expire(setup))
         attempt = Attempt(setup, timer, f"sip:{setup.number}@net")
         self._attempts[setup.name] = attempt
         if not self._entry.serving:
@@ -202,11 +202,13 @@
             self._retire(stale, "its server may close it as idle")
         able = [lane for lane in self._lanes if name not in lane.answered]
         free = (lane for lane in able if lane.free)
-        lane = max(free, key=lambda lane: lane.connection.heard_at, default=None)
+        lane = max(free, key=lambda lane: lane.connection.last_received_at, default=None)
         if lane is None and len(self._lanes) < self._room + (not able):
             lane = self._dial() if not able or self._side.may_widen() else None
         if lane is None:
-            lane = min(able, key=lambda lane: (not lane.connection.up, len(lane.attempts)), default=None)
+            lane = min(
+                able, key=lambda lane: (not lane.connection.connected, len(lane.attempts)), default=None
+            )
         if lane is None:
             self._end(attempt, i.Outcome.UNREACHABLE)
             return
@@ -217,7 +219,11 @@
     def _doubt(self) -> None:
         """A lane on which a set-up hangs and nothing comes may be to a machine that has vanished."""
         since = self.loop.clock.now() - UNHEARD
-        for lane in [lane for lane in self._lanes if lane.connection.up and lane.connection.heard_at < since]:
+        for lane in [
+            lane
+            for lane in self._lanes
+            if lane.connection.connected and lane.connection.last_received_at < since
+        ]:
             if any(attempt.sent_at and attempt.sent_at < since for attempt in lane.attempts.values()):
                 COUNTERS.add("server.silent")
                 self._retire(lane, "a set-up hangs there and nothing comes")
@@ -230,7 +236,7 @@
                             reason=f'"{reason}"')  # fmt: skip
             self._lanes.remove(lane)
             self._retired.append(lane)
-            self.loop.after(RETIRED_FOR, lambda: self._close_retired(lane))
+            self.loop.call_later(RETIRED_FOR, lambda: self._close_retired(lane))
 
     def _close_retired(self, lane: Lane, finished: bool = False) -> None:
         """First only say that no more comes: a release may be on its way, and closing would lose it."""
@@ -238,9 +244,9 @@
             return
         used = lane.attempts or lane.outbox or self.standing.on(lane)
         if not finished and not used:
-            lane.connection.finish()
+            lane.connection.finish_writing()
         if not finished or used:
-            self.loop.after(RETIRED_FOR, lambda: self._close_retired(lane, not used))
+            self.loop.call_later(RETIRED_FOR, lambda: self._close_retired(lane, not used))
             return
         self._retired.remove(lane)
         lane.connection.close()
@@ -290,7 +296,7 @@
             note = message.get("X-Diagnosis") or ""
             cause = CAUSES.get(note, i.Cause.OTHER if note else i.Cause.NONE)
             report = report_of(message)
-        self._switch.ended(name, attempt.setup.attempt, outcome, cause, report)
+        self._switch.attempt_ended(name, attempt.setup.attempt, outcome, cause, report)
 
     def _let_go(self, attempt: Attempt) -> None:
         """Nothing more is open for it; its lane may take one that waits for a connection to come up."""
@@ -317,7 +323,7 @@
     def _say(self, item: Outgoing, lane: Lane | None = None) -> None:
         """Send what concerns a call that stands on its lane, else on any."""
         if lane is None or lane not in self._lanes or lane.stale:
-            up = [lane for lane in self._lanes if lane.connection.up and not lane.stale]
+            up = [lane for lane in self._lanes if lane.connection.connected and not lane.stale]
             able = up or [lane for lane in self._lanes if not lane.stale]
             lane = min(able, key=lambda lane: len(lane.attempts), default=None)
         if lane is None and not self._retrying:
@@ -360,7 +366,7 @@
             lane.finish_write()
             lane.pump()
 
-    def _down(self, lane: Lane, how: End) -> None:
+    def _down(self, lane: Lane, how: EndReason) -> None:
         """A connection has ended: what was open on it is reset, what was not sent goes another way."""
         known = lane in self._lanes
         if known:
@@ -369,15 +375,15 @@
             self._retired.remove(lane)
         else:
             return
-        never = how in (End.REFUSED, End.NEVER_UP)
+        never = how in (EndReason.REFUSED, EndReason.NEVER_UP)
         # One closed as soon as it is up, by a server that holds all it accepts, is no connection either.
         brief = self.loop.clock.now() - lane.connection.opened_at < FIRST_RETRY
-        others = any(other.connection.up for other in self._lanes)
+        others = any(other.connection.connected for other in self._lanes)
         self.standing.ended(lane)
         if known and (never or brief) and others:
             self._room = max(1, len(self._lanes))  # it accepts no more just now
-            self.loop.after(SPARE_AFTER, self._widen)
-        if how is End.REFUSED and known and not self.open_lanes() and self.standing:
+            self.loop.call_later(SPARE_AFTER, self._widen)
+        if how is EndReason.REFUSED and known and not self.open_lanes() and self.standing:
             # Its process is gone, and with it the calls that stood there.
             self.standing.clear()
             self._switch.server_lost(self._entry.server, "it refuses connections")
@@ -395,7 +401,7 @@
                 self._connect_later()
             elif self._owed is not None:
                 self._renew_later()
-        elif how is not End.CLOSED or known and not self._lanes:
+        elif how is not EndReason.CLOSED or known and not self._lanes:
             self._owed, self._renewals = self.loop.clock.now() if self.standing else None, 0
             self._renew()  # of several that were idle for too long, those closed are not opened again
 
@@ -415,7 +421,7 @@
         if not self._renewing and self._renewals < RENEWALS:
             self._renewing = True
             self._renewals += 1
-            self.loop.after(self._retry, self._renew_again)
+            self.loop.call_later(self._retry, self._renew_again)
             self._retry = min(2 * self._retry, LAST_RETRY)
 
     def _renew_again(self) -> None:
@@ -455,7 +461,7 @@
         if self._retrying:
             return
         self._retrying = True
-        self.loop.after(self._retry, self._again)
+        self.loop.call_later(self._retry, self._again)
         self._retry = min(2 * self._retry, LAST_RETRY)
 
     def _again(self) -> None:
@@ -482,26 +488,26 @@
                 return
         if len(ring) and not lane.partial:
             lane.partial = True
-            self.loop.after(STOPPED_SHORT, lambda: self._stopped_short(lane))
+            self.loop.call_later(STOPPED_SHORT, lambda: self._stopped_short(lane))
 
     def _stopped_short(self, lane: Lane) -> None:
         """Look whether more has come of what has begun; one timer, however many pieces that is."""
         lane.partial = False
         if lane.connection.ended or not len(lane.connection.incoming):
             return
-        left = lane.connection.heard_at + STOPPED_SHORT - self.loop.clock.now()
+        left = lane.connection.last_received_at + STOPPED_SHORT - self.loop.clock.now()
         if left <= ZERO:
             self._break(lane, "a message stopped short")
         else:
             lane.partial = True
-            self.loop.after(left, lambda: self._stopped_short(lane))
+            self.loop.call_later(left, lambda: self._stopped_short(lane))
 
     def _break(self, lane: Lane, why: str) -> None:
         """What comes there makes no sense any more."""
         COUNTERS.add("in.server.spoilt")
         log(f"{self._entry.server}: {why}", kind="spoilt")
         lane.connection.close()
-        self._down(lane, End.RESET)
+        self._down(lane, EndReason.RESET)
 
     def _take(self, lane: Lane, message: Message) -> None:
         if not message.is_request:
@@ -514,14 +520,14 @@
         if message.method == "NOTIFY":
             report = report_of(message)
             if report is not NO_REPORT:
-                self._switch.reported(self._entry.server, report)
+                self._switch.load_reported(self._entry.server, report)
                 self.standing.reported(report)
         elif message.method == "BYE":
             name = message.call_id
             if ID.fullmatch(name):
                 self.standing.pop(name)
                 self._switch.server_released(name, cause_of(message), report_of(message), self._entry.server)
-            if not self._side.is_untold(name):
+            if not self._side.has_untold_release(name):
                 lane.connection.send(response(message, 200).encode())
         elif message.method != "ACK":
             lane.connection.send(response(message, 501).encode())
@@ -544,7 +550,7 @@
             self._end(attempt, OUTCOMES.get(message.status, i.Outcome.FAILED), message)
             return
         del self._attempts[name]
-        stands = self._switch.stands(name, attempt.setup.attempt, message.body)
+        stands = self._switch.established(name, attempt.setup.attempt, message.body)
         if stands:
             self.standing.add(name, lane)
         self._let_go(attempt)
@@ -569,7 +575,7 @@
 
     def _release_late(self, lane: Lane, name: str) -> None:
         COUNTERS.add("server.late_answers")
-        if self._switch.goes_on(name, self._entry.server):
+        if self._switch.defer_release(name, self._entry.server):
             return
         self._say(_release(name, CUT), lane)
 
@@ -588,14 +594,16 @@
 class CallServers:
     """The server side on the platform: it keeps an actor for each call server listed."""
 
-    def __init__(self, loop: Loop, switch: Switch, terms: Terms, sockets: int = LANES * LANES) -> None:
+    def __init__(
+        self, loop: Loop, switch: Switch, limits: ConnectionLimits, sockets: int = LANES * LANES
+    ) -> None:
         self._loop, self._switch = loop, switch
-        self.terms, self.sockets = terms, sockets
+        self.limits, self.sockets = limits, sockets
         # Of a release that cannot be told before the process ends: it is not confirmed, and comes again.
-        self.is_untold: Callable[[str], bool] = lambda name: False
+        self.has_untold_release: Callable[[str], bool] = lambda name: False
         self._peers: dict[str, CallServer] = {}
 
-    def listed(self, entries: list[Listed]) -> None:
+    def servers_changed(self, entries: list[ListedServer]) -> None:
         """Tell the actors; one that was dropped from the list stays to end its calls."""
         for entry in entries:
             peer = self._peers.get(entry.server)
@@ -607,19 +615,19 @@
             if entry.removed:
                 self._peers.pop(entry.server, None)
 
-    def test_holders(self) -> None:
+    def probe_servers(self) -> None:
         """Test all call servers that hold calls."""
         for peer in self._peers.values():
             peer.test_holders()
 
-    def lose_unheard(self) -> None:
+    def drop_silent_servers(self) -> None:
         """Count calls as over that stand at servers which have not answered a test."""
         for peer in self._peers.values():
             peer.lose_unheard()
 
     def may_widen(self) -> bool:
         """Whether a call server that has a connection may have one more."""
-        most = self.terms.most
+        most = self.limits.max_connections
         if most is None or sum(peer.connections for peer in self._peers.values()) < most:
             return True
         COUNTERS.add("server.no_room")
@@ -629,7 +637,7 @@
         """A set-up to a server that is not on the list is not sent."""
         peer = self._peers.get(setup.server)
         if peer is None:
-            self._switch.ended(setup.name, setup.attempt, i.Outcome.NOT_SENT)
+            self._switch.attempt_ended(setup.name, setup.attempt, i.Outcome.NOT_SENT)
         else:
             peer.post(setup)
 
--- a/reedmount/fronts/client_connection.py
+++ b/reedmount/fronts/client_connection.py
@@ -13,9 +13,9 @@
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import whole_millis
 from reedmount.core.ports import NORMAL, Progress
-from reedmount.core.shutdown import Departure
+from reedmount.core.shutdown import Shutdown
 from reedmount.fronts.thin_protocol import bye, cause_of, name_of, offer_of
-from reedmount.net.connection import Connection, End
+from reedmount.net.connection import Connection, EndReason
 from reedmount.sip.framing import next_frame
 from reedmount.sip.message import Message, SipError, parse_head, response
 
@@ -33,7 +33,7 @@
 SILENT_AT_END = timedelta(milliseconds=100)  # a new connection has brought nothing for so long
 LINGERS = timedelta(milliseconds=100)  # a connection that is closed softly, until its client closes too
 UNHEARD_RELEASES = 256  # for each connection
-MOST_OPEN = 128  # set-ups on one connection
+MAX_OPEN = 128  # set-ups on one connection
 UNPROVEN_OPEN = 16  # on one on which no call has stood yet
 STRIKES = 8  # messages that cannot be taken, until the connection is closed
 NUMBERS = itertools.count(1)
@@ -63,7 +63,7 @@
 class Lost:
     """The connection has ended."""
 
-    how: End
+    how: EndReason
 
 
 class Claim(IntEnum):
@@ -111,7 +111,7 @@
         invite = self.open.pop(name, None)
         if invite is None or self.connection.ended:
             # Its caller left in this very turn: nobody is there to talk to.
-            self._callers.loop.soon(lambda: self._end_unheard(name))
+            self._callers.loop.call_soon(lambda: self._end_unheard(name))
             return
         self._unacked[name] = invite
         self.standing.add(name)
@@ -156,7 +156,7 @@
         self._callers.loop.trace("client.closed", link=self.number, reason=f'"{reason}"',
                                  open=len(self.open), standing=len(self.standing))  # fmt: skip
         if softly:
-            self.connection.close_softly(LINGERS)
+            self.connection.close_gracefully(LINGERS)
         else:
             self.connection.close()
         self._forget()
@@ -199,7 +199,7 @@
 
     def overdue(self, now: datetime) -> bool:
         """Whether nothing more can be expected: silent, stuck amid a message, never answered, or idle."""
-        age, silence = now - self.connection.opened_at, now - self.connection.heard_at
+        age, silence = now - self.connection.opened_at, now - self.connection.last_received_at
         if not self.heard:
             return age > FIRST_WORD
         if self.open:
@@ -212,7 +212,7 @@
 
     def claim(self, now: datetime) -> tuple[Claim, datetime]:
         """How much of a claim it has to its place when room runs out; the later heard, the more."""
-        heard_at = self.connection.heard_at
+        heard_at = self.connection.last_received_at
         if self.open or self.standing:
             return Claim.IN_USE, heard_at
         if len(self.connection.incoming) or self.part_since is not None:
@@ -221,7 +221,7 @@
             return Claim.SET_UP if self.set_ups else Claim.IDLE, heard_at
         return Claim.SILENT if now - heard_at > SPEAKS_SOON else Claim.NEW, heard_at
 
-    def settled(self, now: datetime, departure: Departure) -> bool:
+    def settled(self, now: datetime, shutdown: Shutdown) -> bool:
         """Whether a drain may close it: nothing is open and nothing on its way in or out.
 
         Calls that stand keep it: no new connection comes, so their releases would reach nobody. The ACK of
@@ -229,26 +229,26 @@
         """
         if self.open or not self.connection.idle or self.connection.unread:
             return False
-        if departure.closes_all(now):
+        if shutdown.closes_all_connections(now):
             return self.heard or now - self.connection.opened_at > SILENT_AT_END
         kept = self.standing and not self._callers.handed_over
         if kept or not self.heard:
             return False
-        if not departure.refuses(now) and not self._callers.handed_over:
+        if not shutdown.refuses_setups(now) and not self._callers.handed_over:
             return False
-        quiet = not self._unacked and now - max(self.connection.heard_at, self.told_at) > SETTLED
-        return quiet or departure.hurries(now)
+        quiet = not self._unacked and now - max(self.connection.last_received_at, self.told_at) > SETTLED
+        return quiet or shutdown.skips_quiet_period(now)
 
     def unfinished(self, now: datetime) -> bool:
         """Whether a message is on its way in, or an answer waits here for the system to take it."""
         if self.connection.ended:
             return False
-        coming = self.part_since is not None and now - self.connection.heard_at <= STALLED
+        coming = self.part_since is not None and now - self.connection.last_received_at <= STALLED
         return coming or not self.connection.idle
 
     def fitness(self, host: str) -> tuple[bool, bool, datetime]:
         """How well it serves for the release of a call whose own connection, from that host, is gone."""
-        return self.proven, self.host == host, self.connection.heard_at
+        return self.proven, self.host == host, self.connection.last_received_at
 
     def over(self, name: str) -> None:
         """A call that was answered here is over."""
@@ -270,7 +270,7 @@
                 self._cancelled.discard(message.call_id)
             case "CANCEL":
                 if not self.cancel(message.call_id):
-                    self._callers.twin.tell("cancel", name=message.call_id)
+                    self._callers.handover_peer.tell("cancel", name=message.call_id)
             case "BYE":
                 self._bye(message)
             case "OPTIONS":
@@ -285,7 +285,7 @@
             # Two under one number: no answer could be told from the other's.
             COUNTERS.add("in.repeated")
             self._final(name, 400, [])
-            self._switch.caller_gone(name)
+            self._switch.caller_abandoned(name)
             self._strike()
             return
         try:
@@ -296,24 +296,24 @@
             self._write(response(message, error.status).encode(), "out.bad_request")
             self._strike()
             return
-        if self.connection.left:
+        if self.connection.peer_finished:
             COUNTERS.add("in.left")  # its caller has closed since it sent this: nothing is owed any more
             return
         self.set_ups += 1
-        if len(self.open) >= (MOST_OPEN if self.proven else UNPROVEN_OPEN):
+        if len(self.open) >= (MAX_OPEN if self.proven else UNPROVEN_OPEN):
             COUNTERS.add("in.too_many_open")
             self._write(response(message, REFUSED).encode(), "out.503")
             return
         self.open[name] = message
-        self._callers.tell_waiting(self)
-        departure = self._switch.lifecycle.departure
-        if departure is not None:
-            if departure.refuses(self._callers.loop.clock.now()) and not self._callers.handed_over:
+        self._callers.send_waiting_releases(self)
+        shutdown = self._switch.lifecycle.shutdown
+        if shutdown is not None:
+            if shutdown.refuses_setups(self._callers.loop.clock.now()) and not self._callers.handed_over:
                 COUNTERS.add("in.refused_leaving")
                 self._callers.loop.trace("call.refused", call=name, attempts=0, reason='"clients are to go"')
                 self._final(name, REFUSED, [])
                 return
-            offer = replace(offer, answer_by=min(offer.answer_by, departure.answer_by))
+            offer = replace(offer, answer_by=min(offer.answer_by, shutdown.answer_by))
         if not self._switch.offer(offer, self):
             self._final(name, 400, [])
             self._strike()
@@ -328,8 +328,8 @@
     def _bye(self, message: Message) -> None:
         name = name_of(message)
         self._callers.over(name)
-        cause, known = cause_of(message), self._switch.knows(name)
-        there = not known and self._callers.twin.tell("bye", name=name, cause=cause)
+        cause, known = cause_of(message), self._switch.has_call(name)
+        there = not known and self._callers.handover_peer.tell("bye", name=name, cause=cause)
         relayed = not known and not there and self._callers.may_relay()
         status = 200 if known or there or relayed else UNKNOWN_CALL
         self._write(response(message, status).encode(), "out.release_heard")
@@ -339,12 +339,12 @@
     def cancel(self, name: str) -> bool:
         """Give up a set-up that came here; False where none of that name did."""
         if self.open.pop(name, None) is not None:
-            self._switch.caller_gone(name)
+            self._switch.caller_abandoned(name)
             self._callers.nothing_open(self)
         elif name in self._unacked:
             # It crossed our answer: unless the caller takes that with an ACK, nobody is there to talk to.
             self._cancelled.add(name)
-            self._callers.loop.after(ACK_WAIT, lambda: self._end_crossed(name))
+            self._callers.loop.call_later(ACK_WAIT, lambda: self._end_crossed(name))
         else:
             return False
         return True
@@ -379,7 +379,7 @@
         self._callers.drop(self)
         for name in list(self.open):
             del self.open[name]
-            self._switch.caller_gone(name)
+            self._switch.caller_abandoned(name)
         byes, self._byes = self._byes, {}
         for name, cause in byes.items():
             self._callers.release(name, cause, None)
--- a/reedmount/fronts/established_calls.py
+++ b/reedmount/fronts/established_calls.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from reedmount import interface as i
-from reedmount.core.liveness import DEAD, LANE_WAIT, Liveness
+from reedmount.core.liveness import CONNECTION_PROBE_TIMEOUT, DEAD_AFTER, Liveness
 from reedmount.fronts.server_connection import Lane
 from reedmount.net.loop import Loop
 
@@ -87,7 +87,7 @@
         self._calls[name] = Standing(self._clock.now(), lane)
         if not self._looking:
             self._looking, self._looked_at = True, self._clock.now()
-            self._holder.loop.after(LOOK_EVERY, self._look)
+            self._holder.loop.call_later(LOOK_EVERY, self._look)
 
     def pop(self, name: str) -> Lane | None:
         """A call is over; the connection it was answered on, where that is open."""
@@ -106,7 +106,7 @@
         """A connection has ended: its calls stand on, as long as the server is heard on another one."""
         self._broken_at = self._clock.now()
         lanes = [other for other in self._holder.open_lanes() if other is not lane]
-        heard = max(lanes, key=lambda other: other.liveness.heard_at, default=None)
+        heard = max(lanes, key=lambda other: other.liveness.last_received_at, default=None)
         for standing in self._calls.values():
             if standing.lane is lane:
                 standing.lane = heard
@@ -120,8 +120,8 @@
     def heard(self, lane: Lane) -> None:
         """Bytes have come."""
         now = self._clock.now()
-        self.server.heard(now)
-        lane.liveness.heard(now)
+        self.server.record_received(now)
+        lane.liveness.record_received(now)
 
     def reported(self, report: i.LoadReport) -> None:
         """A server with fewer lines in use than calls of ours, once a connection broke, is a new process."""
@@ -142,17 +142,17 @@
     def test_now(self) -> None:
         """Test the connections that are up, whatever was heard lately; with none it counts as unheard."""
         now = self._clock.now()
-        self.server.asked(now)
+        self.server.record_probe(now)
         for lane in self._holder.open_lanes():
             self._send_test(now, lane)
 
     def doubt(self, lane: Lane) -> None:
         """Something that was due on a connection never came: if calls hang on it, test it now."""
-        if lane.connection.up and lane.liveness.first_asked_at is None and self.on(lane):
+        if lane.connection.connected and lane.liveness.first_probe_at is None and self.on(lane):
             self._send_test(self._clock.now(), lane)
 
     def _send_test(self, now: datetime, lane: Lane) -> None:
-        lane.liveness.asked(now)
+        lane.liveness.record_probe(now)
         self._holder.test(lane)
 
     def lose(self, reason: str) -> None:
@@ -170,7 +170,7 @@
         if not self._calls:
             self._looking = False
             return
-        self._holder.loop.after(LOOK_EVERY, self._look)
+        self._holder.loop.call_later(LOOK_EVERY, self._look)
         now = self._clock.now()
         stalled, self._looked_at = now - self._looked_at > OWN_STALL, now
         if not stalled:
@@ -179,7 +179,7 @@
             self._test(now)
 
     def _judge(self, now: datetime) -> None:
-        if self.server.dead(now):
+        if self.server.is_dead(now):
             self.lose(SILENT)
             return
         calls = self._calls.items()
@@ -195,18 +195,22 @@
         for lane in [lane for lane in lanes if id(lane) in used] or lanes:
             self._test_lane(now, lane)
         if not lanes:
-            self.server.asked(now)  # by trying to connect
-        if self.server.suspect(now) and now - self._reconnected_at >= RECONNECT_EVERY:
+            self.server.record_probe(now)  # by trying to connect
+        if self.server.is_suspect(now) and now - self._reconnected_at >= RECONNECT_EVERY:
             self._reconnected_at = now
             self._holder.reconnect()
 
     def _test_lane(self, now: datetime, lane: Lane) -> None:
-        asked_at = lane.liveness.first_asked_at
-        if asked_at is not None and lane.liveness.suspect(now, LANE_WAIT) and self.server.heard_at > asked_at:
+        asked_at = lane.liveness.first_probe_at
+        if (
+            asked_at is not None
+            and lane.liveness.is_suspect(now, CONNECTION_PROBE_TIMEOUT)
+            and self.server.last_received_at > asked_at
+        ):
             for standing in self._calls.values():
                 if standing.lane is lane and standing.over_at is None:
-                    standing.over_at = lane.liveness.heard_at + DEAD
+                    standing.over_at = lane.liveness.last_received_at + DEAD_AFTER
             self._holder.give_up(lane)
-        elif lane.liveness.test_due(now):
-            self.server.asked(now)
+        elif lane.liveness.probe_due(now):
+            self.server.record_probe(now)
             self._send_test(now, lane)
--- a/reedmount/fronts/handover.py
+++ b/reedmount/fronts/handover.py
@@ -22,11 +22,11 @@
 LONGEST_PATH = 100  # the system takes 107 bytes
 LONGEST_WORD = 4096
 KEPT_WORDS = 4096  # that the other has not read yet
-HELLO_WAIT = timedelta(milliseconds=1500)  # a busy predecessor answers later than an idle one
-TELL_EVERY = timedelta(milliseconds=200)  # how many descriptors are held
+HELLO_TIMEOUT = timedelta(milliseconds=1500)  # a busy predecessor answers later than an idle one
+REPORT_INTERVAL = timedelta(milliseconds=200)  # how many descriptors are held
 CREDENTIALS = struct.Struct("3i")
 
-Word = dict[str, Any]
+HandoverMessage = dict[str, Any]
 
 
 def _ours(sock: socket.socket) -> bool:
@@ -52,16 +52,20 @@
     """Whole words to and from the other process, in order."""
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, on_word: Callable[[Word], None], on_end: Callable[[], None]
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        on_word: Callable[[HandoverMessage], None],
+        on_end: Callable[[], None],
     ) -> None:
         self._loop, self._sock, self._on_end = loop, sock, on_end
-        self._actor: Actor[Word] = Actor(loop, on_word)
+        self._actor: Actor[HandoverMessage] = Actor(loop, on_word)
         self._waiting: deque[bytes] = deque()
         self.ended = False
         sock.setblocking(False)
         loop.watch(sock.fileno(), READ, self._ready)
 
-    def send(self, word: Word) -> None:
+    def send(self, word: HandoverMessage) -> None:
         """Tell the other; one that reads nothing for so long is as good as gone."""
         if self.ended:
             return
@@ -86,7 +90,7 @@
             except BlockingIOError:
                 break
             except OSError:
-                self._loop.soon(self.close)
+                self._loop.call_soon(self.close)
                 return
             self._waiting.popleft()
         self._loop.watch(self._sock.fileno(), READ | WRITE if self._waiting else READ, self._ready)
@@ -113,13 +117,13 @@
             self._actor.post(word)
 
 
-class Twin:
+class HandoverPeer:
     """The other process of an upgrade, while there is one. Without it every word is refused."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._channel: Channel | None = None
-        self._on: dict[str, Callable[[Word], None]] = {}
+        self._on: dict[str, Callable[[HandoverMessage], None]] = {}
         self.on_lost: Callable[[], None] = lambda: None
 
     @property
@@ -127,7 +131,7 @@
         """Whether another process is joined to this one."""
         return self._channel is not None
 
-    def on(self, what: str, do: Callable[[Word], None]) -> None:
+    def on(self, what: str, do: Callable[[HandoverMessage], None]) -> None:
         """Say what is done at a word; others are passed over, as the other may be of another version."""
         self._on[what] = do
 
@@ -147,7 +151,7 @@
         self._channel.send({"what": what, **about})
         return self._channel is not None
 
-    def _hear(self, word: Word) -> None:
+    def _hear(self, word: HandoverMessage) -> None:
         do = self._on.get(str(word.get("what")))
         if do is None:
             COUNTERS.add("twin.in.unknown")
@@ -165,8 +169,8 @@
             self.on_lost()
 
 
-def ask(
-    folder: Path, address: Address, wait: timedelta = HELLO_WAIT
+def request_listener(
+    folder: Path, address: Address, wait: timedelta = HELLO_TIMEOUT
 ) -> tuple[socket.socket, socket.socket] | None:
     """Ask a predecessor for its listener; it comes with the connection to that process, or there is none.
 
@@ -201,13 +205,13 @@
     return None
 
 
-class Heirs:
+class SuccessorListener:
     """Where a successor asks for the listener."""
 
     def __init__(
-        self, loop: Loop, folder: Path, listener: socket.socket, on_heir: Callable[[socket.socket], None]
+        self, loop: Loop, folder: Path, listener: socket.socket, on_successor: Callable[[socket.socket], None]
     ) -> None:
-        self._loop, self._folder, self._listener, self._on_heir = loop, folder, listener, on_heir
+        self._loop, self._folder, self._listener, self._on_successor = loop, folder, listener, on_successor
         self._sock: socket.socket | None = None
 
     def open(self) -> None:
@@ -244,17 +248,17 @@
         if self._sock is None:
             return
         try:
-            heir, _peer = self._sock.accept()
+            successor, _peer = self._sock.accept()
         except OSError:
             return
         try:
-            if not _ours(heir):
+            if not _ours(successor):
                 raise OSError("another user's process asked for the listener")
             hello = json.dumps({"what": "hello"}).encode()
-            socket.send_fds(heir, [hello], [self._listener.fileno()])
+            socket.send_fds(successor, [hello], [self._listener.fileno()])
         except OSError as error:
             log(f"no listener for a successor: {error}")
-            heir.close()
+            successor.close()
             return
         log("a successor has been given the listener")
-        self._on_heir(heir)
+        self._on_successor(successor)
--- a/reedmount/fronts/platform.py
+++ b/reedmount/fronts/platform.py
@@ -11,7 +11,7 @@
 from reedmount.core.lifecycle import Need, Phase
 from reedmount.core.switch import Switch
 from reedmount.fronts.client_connection import SETTLED, Claim, Link
-from reedmount.fronts.handover import TELL_EVERY, Twin, Word
+from reedmount.fronts.handover import REPORT_INTERVAL, HandoverMessage, HandoverPeer
 from reedmount.net.connection import Address, Listener, bind
 from reedmount.net.loop import Loop
 
@@ -28,10 +28,10 @@
 RELAY_SPAN = timedelta(milliseconds=250)
 UNWATCHED = 6  # descriptors of a process that its loop does not hear of
 SPARE = 8  # descriptors that nobody holds: what is dialled or accepted next
-LEAST_ROOM = 8  # connections, however many the other process of an upgrade holds
+MIN_ROOM = 8  # connections, however many the other process of an upgrade holds
 
 
-def _release_of(word: Word) -> tuple[str, int]:
+def _release_of(word: HandoverMessage) -> tuple[str, int]:
     return str(word["name"]), int(word["cause"])
 
 
@@ -39,15 +39,15 @@
     """All callers' connections."""
 
     def __init__(
-        self, loop: Loop, switch: Switch, address: Address, most: int, given: socket.socket | None = None,
-        descriptors: int = 1024,
+        self, loop: Loop, switch: Switch, address: Address, max_connections: int,
+        given: socket.socket | None = None, descriptors: int = 1024,
     ) -> None:  # fmt: skip
         self.loop, self.switch = loop, switch
-        self.twin = Twin(loop)
+        self.handover_peer = HandoverPeer(loop)
         self._held_there = 0  # descriptors of the other process
         self.reserve = 0  # descriptors that a successor needs before it is ready
         self._relayed, self._relayed_since = 0, loop.clock.now()
-        self.most = most  # connections
+        self.max_connections = max_connections  # connections
         self.descriptors = descriptors  # of the process
         self._links: dict[Link, None] = {}
         self._changed_at = loop.clock.now()  # when one came or ended last
@@ -60,13 +60,13 @@
         switch.lifecycle.on_change(self._empty)
         if given is None:
             self.listener.start()
-        switch.lifecycle.met(Need.LISTENING)
-        switch.on_orphan(self._orphan)
-        self.twin.on("bye", self._heard_bye)
-        self.twin.on("cancel", self._heard_cancel)
-        self.twin.on("server_bye", self._heard_server_bye)
-        self.twin.on("release", self._heard_release)
-        self.twin.on("held", self._heard_held)
+        switch.lifecycle.satisfy(Need.LISTENING)
+        switch.on_unknown_release(self._orphan)
+        self.handover_peer.on("bye", self._heard_bye)
+        self.handover_peer.on("cancel", self._heard_cancel)
+        self.handover_peer.on("server_bye", self._heard_server_bye)
+        self.handover_peer.on("release", self._heard_release)
+        self.handover_peer.on("held", self._heard_held)
         loop.background.every("links", LOOK_EVERY, self._look, Urgency.SWEEP)
 
     @property
@@ -77,7 +77,7 @@
     @property
     def handed_over(self) -> bool:
         """Whether new connections go to another process that is there."""
-        return self.switch.lifecycle.superseded and self.twin.there
+        return self.switch.lifecycle.superseded and self.handover_peer.there
 
     def hand_over(self) -> None:
         """Another process accepts from now on; what is here is gone through as in a drain."""
@@ -94,30 +94,30 @@
             self.listener.start()
 
     def _tell_held(self) -> None:
-        if self.handed_over and self.twin.tell("held", count=self.loop.watched + UNWATCHED):
-            self.loop.after(TELL_EVERY, self._tell_held)
+        if self.handed_over and self.handover_peer.tell("held", count=self.loop.watched_count + UNWATCHED):
+            self.loop.call_later(REPORT_INTERVAL, self._tell_held)
 
-    def _heard_held(self, word: Word) -> None:
+    def _heard_held(self, word: HandoverMessage) -> None:
         self._held_there = int(word["count"])
 
-    def _heard_bye(self, word: Word) -> None:
+    def _heard_bye(self, word: HandoverMessage) -> None:
         """A caller ended a call there that is not known there."""
         name, cause = _release_of(word)
-        if self.switch.knows(name) or self.may_relay():
+        if self.switch.has_call(name) or self.may_relay():
             self.switch.caller_released(name, cause)
 
-    def _heard_cancel(self, word: Word) -> None:
+    def _heard_cancel(self, word: HandoverMessage) -> None:
         """A caller gave up a set-up there that is not known there."""
         any(link.cancel(str(word["name"])) for link in list(self._links))
 
-    def _heard_release(self, word: Word) -> None:
+    def _heard_release(self, word: HandoverMessage) -> None:
         """A call of the other process is over, and it has no connection to say so."""
         self.release(*_release_of(word), None, here=True)
 
-    def _heard_server_bye(self, word: Word) -> None:
+    def _heard_server_bye(self, word: HandoverMessage) -> None:
         """A server released a call there that is not known there."""
         name, cause = _release_of(word)
-        if self.switch.knows(name):
+        if self.switch.has_call(name):
             self.switch.server_released(name, cause)
         else:
             self.release(name, cause, None)
@@ -129,17 +129,17 @@
         What the rest of this process holds (a crowd of connections to call servers that broke) goes first:
         the notice board would have no descriptor left to be asked with.
         """
-        others = self.loop.watched - len(self._links) + UNWATCHED + SPARE
-        most = min(self.most, self.descriptors - others)
-        return max(min(LEAST_ROOM, self.most), most - self._held_there - self.reserve)
+        others = self.loop.watched_count - len(self._links) + UNWATCHED + SPARE
+        most = min(self.max_connections, self.descriptors - others)
+        return max(min(MIN_ROOM, self.max_connections), most - self._held_there - self.reserve)
 
     def _orphan(self, name: str, cause: int) -> None:
         """A server released a call that is not known here: the other process may know it."""
-        if not self.twin.tell("server_bye", name=name, cause=cause):
+        if not self.handover_peer.tell("server_bye", name=name, cause=cause):
             self.release(name, cause, None)
 
     @property
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is on its way from or to a caller, and none uses what another should serve."""
         used = self.handed_over and any(link.heard for link in self._links)
         return not self._waiting and not used and not self._unfinished
@@ -147,8 +147,8 @@
     @property
     def _unfinished(self) -> bool:
         """Whether to wait for a message or an answer; no longer than the end may take."""
-        now, departure = self.loop.clock.now(), self.switch.lifecycle.departure
-        over = departure is not None and now - departure.since > LAST_WORD
+        now, shutdown = self.loop.clock.now(), self.switch.lifecycle.shutdown
+        over = shutdown is not None and now - shutdown.since > LAST_WORD
         return not over and any(link.unfinished(now) for link in self._links)
 
     def release(self, name: str, cause: int, link: Link | None, here: bool = False) -> None:
@@ -164,7 +164,7 @@
         if link is not None:
             link.send_release(name, cause)
             self._expect_heard(name, cause, link)
-        elif not here and self.handed_over and self.twin.tell("release", name=name, cause=cause):
+        elif not here and self.handed_over and self.handover_peer.tell("release", name=name, cause=cause):
             return  # no connection comes here any more
         elif len(self._waiting) < KEPT_RELEASES:
             self._waiting[name] = cause
@@ -178,7 +178,7 @@
         tried.append(link)
         if len(self._unheard) > KEPT_RELEASES:
             del self._unheard[next(iter(self._unheard))]
-        self.loop.after(CONFIRMED_WITHIN, lambda: self._look_unheard(name, cause))
+        self.loop.call_later(CONFIRMED_WITHIN, lambda: self._look_unheard(name, cause))
 
     def _look_unheard(self, name: str, cause: int) -> None:
         tried = self._unheard.get(name, [])
@@ -188,7 +188,7 @@
             self._unheard.pop(name, None)  # heard, or left to the end of the connections that it was sent on
             return
         COUNTERS.add("released.unconfirmed")
-        link = max(able, key=lambda other: other.connection.heard_at)
+        link = max(able, key=lambda other: other.connection.last_received_at)
         link.send_release(name, cause)
         self._expect_heard(name, cause, link)
 
@@ -198,11 +198,11 @@
         for link in self._unheard.pop(name, ()):
             link.release_heard(name)
 
-    def is_untold(self, name: str) -> bool:
+    def has_untold_release(self, name: str) -> bool:
         """Whether a release waits for a connection that this process will not see any more."""
         return name in self._waiting and self.switch.lifecycle.phase is Phase.ENDING
 
-    def tell_waiting(self, link: Link) -> None:
+    def send_waiting_releases(self, link: Link) -> None:
         """A connection has brought a set-up: what waited for one is told there."""
         if self._waiting:
             waiting, self._waiting = self._waiting, {}
@@ -231,7 +231,7 @@
     def nothing_open(self, link: Link) -> None:
         """Late in a drain the first moment counts in which no set-up is open on a connection."""
         if self._emptying:
-            self.loop.soon(lambda: self._close_settled([link]))
+            self.loop.call_soon(lambda: self._close_settled([link]))
 
     def _empty(self) -> None:
         """A drain begins: look at the connections until it is over."""
@@ -239,22 +239,22 @@
             self._close_drained()
 
     def _close_drained(self) -> None:
-        departure = self.switch.lifecycle.departure
-        self._emptying = departure is not None
-        if departure is not None:
+        shutdown = self.switch.lifecycle.shutdown
+        self._emptying = shutdown is not None
+        if shutdown is not None:
             self._close_settled(list(self._links))
-            last = departure.closes_all(self.loop.clock.now())
-            self.loop.after(LOOK_AT_END if last else SETTLED, self._close_drained)
+            last = shutdown.closes_all_connections(self.loop.clock.now())
+            self.loop.call_later(LOOK_AT_END if last else SETTLED, self._close_drained)
 
     @property
-    def gone(self) -> bool:
+    def all_clients_gone(self) -> bool:
         """Whether no client is here any more and none can be on its way."""
         return not self._links and self.loop.clock.now() - self._changed_at >= LAST_ACCEPT
 
     def _close_settled(self, links: list[Link]) -> None:
-        now, departure = self.loop.clock.now(), self.switch.lifecycle.departure
+        now, shutdown = self.loop.clock.now(), self.switch.lifecycle.shutdown
         for link in links:
-            if departure is not None and not link.connection.ended and link.settled(now, departure):
+            if shutdown is not None and not link.connection.ended and link.settled(now, shutdown):
                 COUNTERS.add("in.drained")
                 link.close("clients are to go", softly=True)
 
--- a/reedmount/fronts/server_connection.py
+++ b/reedmount/fronts/server_connection.py
@@ -13,7 +13,7 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.core.liveness import Liveness
 from reedmount.core.ports import Setup
-from reedmount.net.connection import Address, Connection, End
+from reedmount.net.connection import Address, Connection, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.message import Message
 
@@ -82,23 +82,23 @@
     """A connection has ended."""
 
     lane: Lane
-    how: End
+    how: EndReason
 
 
 @dataclass(slots=True)
-class Terms:
+class ConnectionLimits:
     """What holds for all connections to call servers; a reload changes it in place."""
 
     connect_wait: timedelta  # for one to come up
     idle_wait: timedelta | None = None  # a call server closes one that was not used for so long
-    most: int | None = None  # connections in all, beyond one to each call server
+    max_connections: int | None = None  # connections in all, beyond one to each call server
 
 
 class Owner(Protocol):
     """The actor whose lane it is."""
 
     loop: Loop
-    terms: Terms
+    limits: ConnectionLimits
 
     @property
     def address(self) -> Address:
@@ -122,11 +122,11 @@
         self.partial = False  # a message has begun and not ended, and is looked after
         self.releases: dict[str, tuple[datetime, Outgoing]] = {}  # sent and not confirmed, the oldest first
         self.writing: Callable[[], None] | None = None
-        self._clock, self._terms = server.loop.clock, server.terms
+        self._clock, self._limits = server.loop.clock, server.limits
         self._used_at = self._clock.now()  # when a message other than unasked news went here or came
         self.liveness = Liveness(self._used_at)
         self.connection = Connection.dial(
-            server.loop, server.address, server.terms.connect_wait,
+            server.loop, server.address, server.limits.connect_wait,
             lambda _: server.post(Data(self)),
             lambda _, how: server.post(Down(self, how)),
             lambda _: server.post(Up(self)),
@@ -135,12 +135,12 @@
     @property
     def free(self) -> bool:
         """Whether it is up and nothing is open or waits on it."""
-        return self.connection.up and not self.attempts and not self.outbox
+        return self.connection.connected and not self.attempts and not self.outbox
 
     @property
     def stale(self) -> bool:
         """Whether its call server may close it before what would be sent now is there: that would be lost."""
-        idle = self._terms.idle_wait
+        idle = self._limits.idle_wait
         return idle is not None and self.free and self._clock.now() - self._used_at > idle * FRESH
 
     def used(self) -> None:
--- a/reedmount/fronts/sip.py
+++ b/reedmount/fronts/sip.py
@@ -17,7 +17,7 @@
 from reedmount.net.connection import Address
 from reedmount.net.loop import Loop
 from reedmount.sip import dialog as dialogs
-from reedmount.sip.dialog import Dialog, Side
+from reedmount.sip.dialog import Dialog, DialogState
 from reedmount.sip.endpoint import Endpoint, TcpHop
 from reedmount.sip.message import (
     Message,
@@ -69,11 +69,11 @@
         return max(fitting)[1] if fitting else self.default_class
 
 
-class Keeper(Protocol):
+class DialogRecorder(Protocol):
     """Who keeps the dialogs of calls that stand."""
 
-    def stands(
-        self, name: str, server: str, attempts: int, sides: tuple[Side, ...], then: Callable[[], None]
+    def call_established(
+        self, name: str, server: str, attempts: int, sides: tuple[DialogState, ...], then: Callable[[], None]
     ) -> None:
         """A call server has answered; ``then`` goes on once that is kept, or could not be in time."""
 
@@ -100,11 +100,11 @@
         self._released: int | None = None
 
     @property
-    def side(self) -> Side:
+    def side(self) -> DialogState:
         """Its dialog as it will be once it is answered, for whoever may have to end it."""
         invite = self.transaction.request
         local = response(invite, 200, tag=self.tag).need("To")
-        return Side.of(dialogs.as_callee(invite, local), self.transaction.hop.reliable)
+        return DialogState.of(dialogs.uas_dialog(invite, local), self.transaction.hop.reliable)
 
     @property
     def open(self) -> bool:
@@ -118,13 +118,13 @@
                  *(("Record-Route", value) for value in invite.all("Record-Route")),
                  *([("Content-Type", "application/sdp")] if description else [])]  # fmt: skip
         answer = response(invite, 200, extra, description, self.tag)
-        self.dialog = dialogs.as_callee(invite, answer.need("To"))
+        self.dialog = dialogs.uas_dialog(invite, answer.need("To"))
         self.front.legs[self.dialog.key] = self
         self._answer = answer.encode()
         self.transaction.respond(answer)
         timers = self.front.settings.timers
         self._repeat(timers.t1)
-        self.front.loop.after(timers.longest, self._never_acknowledged)
+        self.front.loop.call_later(timers.longest, self._never_acknowledged)
 
     def progressed(self, name: str, progress: Progress, description: bytes) -> None:
         """180 to 183. Another far end has another tag: it is an early dialog of its own (12.1)."""
@@ -184,7 +184,7 @@
                 COUNTERS.add("sip.out.repeats")
                 self._repeat(min(2 * span, self.front.settings.timers.t2))
 
-        self.front.loop.after(span, again)
+        self.front.loop.call_later(span, again)
 
     def _never_acknowledged(self) -> None:
         """13.3.1.4: the dialog stands, but is to be ended with a BYE."""
@@ -214,12 +214,12 @@
         self._asked: dict[Asked, Leg] = {}
         self._asking: dict[ServerTransaction, Leg] = {}  # by the INVITE's transaction
         self.server_legs: dict[dialogs.Key, FarLeg] = {}
-        self.keeper: Keeper | None = None
+        self.recorder: DialogRecorder | None = None
         self._random = random.Random(seed)
         self._count = 0
         self.endpoint = Endpoint(loop, settings.listen, settings.timers, self, settings.listen6)
         self.endpoint.on_hop_lost = self._hop_lost
-        switch.lifecycle.met(Need.LISTENING)
+        switch.lifecycle.satisfy(Need.LISTENING)
 
     def forget(self, leg: Leg) -> None:
         """A client's leg is over."""
@@ -252,7 +252,7 @@
         reason = [("Reason", f"Q.850;cause={cause}")]
         self.endpoint.layer.send(dialog.request("BYE", self.via(hop), reason), hop, lambda _: None)
 
-    def release_for(self, side: Side, cause: int) -> None:
+    def release_for(self, side: DialogState, cause: int) -> None:
         """End a leg of a border controller that is gone, from our address, with its dialog's identifiers (RFC
         3261, section 15). Its first route or its target says where the peer is; names are not looked up."""
         try:
@@ -294,24 +294,24 @@
             unsupported = [("Unsupported", message.get("Require") or "")] if error.status == 420 else []
             transaction.respond(response(message, error.status, unsupported, tag=self.token()))
 
-    def gave_up(self, transaction: ServerTransaction) -> None:
+    def request_failed(self, transaction: ServerTransaction) -> None:
         """Serving a request went wrong: its call is given up, and its client hears 500."""
         leg = self._asking.get(transaction)
         if leg is not None and leg.open:
-            self.switch.caller_gone(leg.name)
+            self.switch.caller_abandoned(leg.name)
             self.forget(leg)
         if transaction.state in (State.TRYING, State.PROCEEDING):
             transaction.respond(response(transaction.request, 500, tag=self.token()))
 
     def acknowledged(self, message: Message) -> None:
         """The ACK of a 200."""
-        leg = self.legs.get(dialogs.key_of(message))
+        leg = self.legs.get(dialogs.dialog_key(message))
         if leg is None:
             COUNTERS.add("sip.in.dropped")
         else:
             leg.heard_ack()
 
-    def stray(self, message: Message, hop: Hop) -> None:
+    def unmatched_response(self, message: Message, hop: Hop) -> None:
         """A response to nothing known: dropped. A 2xx that comes so late was released when it was current."""
         COUNTERS.add("sip.in.dropped")
 
@@ -325,7 +325,7 @@
     def _invite(self, transaction: ServerTransaction) -> None:
         message = transaction.request
         if parameter(message.need("To"), "tag") is not None:
-            key = dialogs.key_of(message)
+            key = dialogs.dialog_key(message)
             known = key in self.legs or key in self.server_legs
             # The description of a call that stands is not changed here: it goes on as it is.
             transaction.respond(response(message, 488 if known else 481))
@@ -334,7 +334,7 @@
             raise SipError(400, "Contact is missing")
         if asked_by(message) in self._asked:
             raise SipError(482, "the same call came another way")  # 8.2.2.2: it would be set up twice
-        if self.switch.lifecycle.departure is not None:
+        if self.switch.lifecycle.shutdown is not None:
             COUNTERS.add("sip.refused_leaving")
             extra = [("Retry-After", str(LEAVING_RETRY // SECOND))]
             transaction.respond(response(message, 503, extra, tag=self.token()))
@@ -354,7 +354,7 @@
             first_choice=self.first_choice(number),
             answer_by=leaves_at - ANSWER_EARLY,
             description=message.body,
-            leaves_at=leaves_at,
+            caller_gives_up_at=leaves_at,
             reference=message.call_id,
         )
         if not self.switch.offer(offer, leg):
@@ -378,12 +378,12 @@
         leg = self._asking.get(invite)
         transaction.respond(response(transaction.request, 200, tag=leg.tag if leg else self.token()))
         if leg is not None and leg.open:
-            self.switch.caller_gone(leg.name)
+            self.switch.caller_abandoned(leg.name)
             leg._final(487, [])
 
     def _bye(self, transaction: ServerTransaction) -> None:
         message = transaction.request
-        key = dialogs.key_of(message)
+        key = dialogs.dialog_key(message)
         leg, server_leg = self.legs.get(key), self.server_legs.get(key)
         dialog = leg.dialog if leg else server_leg.dialog if server_leg else None
         if dialog is None:
@@ -405,6 +405,6 @@
             leg = self._asking.get(transaction)
             if leg is not None and leg.open:
                 COUNTERS.add("sip.clients_lost")
-                self.switch.caller_gone(leg.name)
+                self.switch.caller_abandoned(leg.name)
                 leg.transaction.end()
                 self.forget(leg)
--- a/reedmount/fronts/sip_servers.py
+++ b/reedmount/fronts/sip_servers.py
@@ -7,11 +7,11 @@
 from reedmount import interface as i
 from reedmount.core.actors import Actor, Timer
 from reedmount.core.checks import COUNTERS, log
-from reedmount.core.ports import CUT, CancelSetup, Listed, Progress, Release, Setup
+from reedmount.core.ports import CUT, CancelSetup, ListedServer, Progress, Release, Setup
 from reedmount.fronts.sip import ALLOW, SECOND, SipFront
-from reedmount.net.connection import End, text_of
+from reedmount.net.connection import EndReason, format_address
 from reedmount.sip import dialog as dialogs
-from reedmount.sip.dialog import Dialog, Side
+from reedmount.sip.dialog import Dialog, DialogState
 from reedmount.sip.endpoint import TcpHop
 from reedmount.sip.message import Message, parameter, request
 from reedmount.sip.transaction import ClientTransaction, Hop, State
@@ -26,8 +26,8 @@
     600: (i.Outcome.FAILED, i.Cause.NUMBER_BUSY),
 }
 PROGRESS = {180: Progress.RINGING, 181: Progress.FORWARDED, 182: Progress.QUEUED, 183: Progress.SESSION}
-FORKS_MOST = 16  # far ends of one set-up that are released
-PROGRESS_MOST = 32  # of an attempt: a server that rings without end must not make us do the same
+MAX_FORKS = 16  # far ends of one set-up that are released
+MAX_PROGRESS = 32  # of an attempt: a server that rings without end must not make us do the same
 
 
 class ServerLeg:
@@ -46,15 +46,15 @@
         self._forks: dict[str, Dialog] = {}  # others that answered as well
         self._told = 0
         self._held_up = False  # its answer waits until it is kept
-        self.timer: Timer = peer.loop.after(setup.give_up, lambda: self.call_off(i.Outcome.TIMED_OUT))
+        self.timer: Timer = peer.loop.call_later(setup.give_up, lambda: self.call_off(i.Outcome.TIMED_OUT))
 
     def start(self, hop: Hop) -> None:
         """Send the INVITE."""
         front = self.peer.front
         entry, setup = self.peer.entry, self.setup
-        place = text_of(entry.address)
+        place = format_address(entry.address)
         target = f"sip:{setup.number}@{place};transport={'tcp' if hop.reliable else 'udp'}"
-        host = text_of(front.endpoint.own(hop.ipv6)).rpartition(":")[0]
+        host = format_address(front.endpoint.own(hop.ipv6)).rpartition(":")[0]
         invite = request("INVITE", target, [
             ("Via", front.via(hop)), ("Max-Forwards", "70"),
             ("From", f"<sip:reedmount@{host}>;tag={front.token()}"),
@@ -89,7 +89,7 @@
         self.timer.cancel()
         self.peer.legs.pop(self.setup.name, None)
         self.peer.ended(self.setup.name)
-        self.peer.front.switch.ended(self.setup.name, self.setup.attempt, outcome, cause)
+        self.peer.front.switch.attempt_ended(self.setup.name, self.setup.attempt, outcome, cause)
 
     def release(self, cause: int) -> None:
         """The caller's side is over."""
@@ -136,7 +136,7 @@
             return
         self._told += 1
         fork = parameter(message.get("To") or "", "tag") or ""
-        if self._told > PROGRESS_MOST or self._fork not in (None, fork):
+        if self._told > MAX_PROGRESS or self._fork not in (None, fork):
             COUNTERS.add("progress.not_passed")
             return
         self._fork = fork
@@ -147,13 +147,13 @@
         tag = parameter(message.need("To"), "tag") or ""
         if self.dialog is None or self.transaction is None or self.hop is None or self.dialog.key[2] == tag:
             return False
-        if tag not in self._forks and len(self._forks) < FORKS_MOST:
+        if tag not in self._forks and len(self._forks) < MAX_FORKS:
             COUNTERS.add("server.forked_answers")
-            other = self._forks[tag] = dialogs.as_caller(self.transaction.request, message)
+            other = self._forks[tag] = dialogs.uac_dialog(self.transaction.request, message)
             self.hop.send(other.request("ACK", self.peer.front.via(self.hop)).encode())
             self.peer.front.bye(other, self.peer.hop_for(self.hop), CUT)
         elif tag in self._forks:
-            again = dialogs.as_caller(self.transaction.request, message)  # its ACK was lost
+            again = dialogs.uac_dialog(self.transaction.request, message)  # its ACK was lost
             self.hop.send(again.request("ACK", self.peer.front.via(self.hop)).encode())
         return True
 
@@ -165,13 +165,15 @@
             return  # repeated before its first copy was kept
         again = self.dialog is not None
         if not again:
-            self.dialog = dialogs.as_caller(self.transaction.request, message)
+            self.dialog = dialogs.uac_dialog(self.transaction.request, message)
             front, leg = self.peer.front, self.peer.front.names.get(self.setup.name)
-            if front.keeper is not None and leg is not None and not self.ended:
+            if front.recorder is not None and leg is not None and not self.ended:
                 self._held_up = True
-                sides = (leg.side, Side.of(self.dialog, self.hop.reliable))
+                sides = (leg.side, DialogState.of(self.dialog, self.hop.reliable))
                 server, attempts = self.peer.entry.server, self.setup.attempt + 1
-                front.keeper.stands(self.setup.name, server, attempts, sides, lambda: self._kept(message))
+                front.recorder.call_established(
+                    self.setup.name, server, attempts, sides, lambda: self._kept(message)
+                )
                 return
         self._acknowledge(message, again)
 
@@ -194,7 +196,7 @@
         if not self.ended:
             if self._fork not in (None, self.dialog.key[2]):
                 front.switch.progressed(name, self.setup.attempt, Progress.AGAIN)
-            stands = front.switch.stands(name, self.setup.attempt, message.body)
+            stands = front.switch.established(name, self.setup.attempt, message.body)
             self.ended = True
             self.peer.legs.pop(name, None)
             if stands:
@@ -208,14 +210,18 @@
 class SipServer:
     """The actor of one call server, reached over UDP or TCP."""
 
-    def __init__(self, front: SipFront, entry: Listed, on_idle: Callable[[SipServer, str], None]) -> None:
+    def __init__(
+        self, front: SipFront, entry: ListedServer, on_idle: Callable[[SipServer, str], None]
+    ) -> None:
         self.front, self.loop, self.entry = front, front.loop, entry
         self._on_idle = on_idle
         self.legs: dict[str, ServerLeg] = {}
         self.standing: dict[str, ServerLeg] = {}
         self.waiting: list[ServerLeg] = []  # for the connection to come up
         self._hop: TcpHop | None = None
-        self._actor: Actor[Setup | CancelSetup | Release | Listed | End] = Actor(front.loop, self._handle)
+        self._actor: Actor[Setup | CancelSetup | Release | ListedServer | EndReason] = Actor(
+            front.loop, self._handle
+        )
         self.post = self._actor.post
 
     @property
@@ -225,14 +231,14 @@
 
     def ended(self, name: str) -> None:
         """An attempt or a call has come to its end here."""
-        self.loop.soon(lambda: self._on_idle(self, name))
+        self.loop.call_soon(lambda: self._on_idle(self, name))
 
     def close(self) -> None:
         """It is forgotten; its connection closes once all is written."""
         self._actor.stop()
         if self._hop is not None:
             self._hop.on_lost = None
-            self._hop.connection.close_when_sent()
+            self._hop.connection.close_after_send()
 
     def hop_for(self, used: Hop) -> Hop:
         """The way to the server now: what was used, or the connection that has followed it."""
@@ -240,7 +246,7 @@
             return self._connect()
         return used
 
-    def _handle(self, word: Setup | CancelSetup | Release | Listed | End) -> None:
+    def _handle(self, word: Setup | CancelSetup | Release | ListedServer | EndReason) -> None:
         match word:
             case Setup():
                 self._setup(word)
@@ -252,12 +258,12 @@
                 standing = self.standing.get(name)
                 if standing is not None:
                     standing.release(cause)
-            case Listed():
+            case ListedServer():
                 self._news(word)
             case _:
                 self._lost(word)
 
-    def _news(self, entry: Listed) -> None:
+    def _news(self, entry: ListedServer) -> None:
         self.entry = entry
         if not entry.serving:
             waiting, self.waiting = self.waiting, []
@@ -273,7 +279,7 @@
             leg.start(self.front.endpoint.udp(self.entry.address))
         else:
             hop = self._connect()
-            if hop.connection.up:
+            if hop.connection.connected:
                 leg.start(hop)
             else:
                 self.waiting.append(leg)
@@ -291,7 +297,7 @@
             if self._hop is not None:
                 leg.start(self._hop)
 
-    def _lost(self, how: End) -> None:
+    def _lost(self, how: EndReason) -> None:
         """The set-ups that were out on it have been told by their transactions; those not sent never ran."""
         log(f"{self.entry.server}: connection {how.value}", f"sip.connection {how.value}")
         if self._hop is not None and self._hop.connection.ended:
@@ -309,7 +315,7 @@
         self._peers: dict[str, SipServer] = {}
         self._out: dict[str, SipServer] = {}  # by call: who has its open attempt
 
-    def listed(self, entries: list[Listed]) -> None:
+    def servers_changed(self, entries: list[ListedServer]) -> None:
         """Tell the actors of their servers' states."""
         for entry in entries:
             peer = self._peers.get(entry.server)
@@ -330,7 +336,7 @@
         """A set-up to a server that is not known is not sent."""
         peer = self._peers.get(setup.server)
         if peer is None:
-            self._front.switch.ended(setup.name, setup.attempt, i.Outcome.NOT_SENT)
+            self._front.switch.attempt_ended(setup.name, setup.attempt, i.Outcome.NOT_SENT)
         else:
             self._out[setup.name] = peer
             peer.post(setup)
--- a/reedmount/fronts/thin_protocol.py
+++ b/reedmount/fronts/thin_protocol.py
@@ -15,7 +15,7 @@
 from reedmount.sip.message import Message, SipError, request
 
 ANSWER_EARLY = timedelta(milliseconds=40)  # before the caller gives up: for the way, and a turn of ours
-MOST_WIDTH, MOST_PLACE = 64, 9999
+MAX_WIDTH, MAX_PLACE = 64, 9999
 ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
 TEST_ID = "0" * 16  # every message names a call by 16 hex digits
 URI = re.compile(r"sip:([0-9a-f]{16})@net", re.ASCII)
@@ -121,11 +121,11 @@
     if wait > span(kind.give_up_us):
         raise SipError(400, f"X-Timer-Ms is longer than calls of the class wait: {timer}")
     legs = legs_of(message.get("X-Legs") or "dest:-1")
-    dest = within(legs, "dest", -1, -1, MOST_PLACE)
+    dest = within(legs, "dest", -1, -1, MAX_PLACE)
     if dest >= 0 and kind.servers is not None and dest not in kind.servers:
         raise SipError(400, f"X-Legs: a call of the class cannot go to {dest}")
-    within(legs, "width", 1, 1, MOST_WIDTH)
-    within(legs, "via", -1, -1, MOST_PLACE)
+    within(legs, "width", 1, 1, MAX_WIDTH)
+    within(legs, "via", -1, -1, MAX_PLACE)
     if not sound(message.body):
         raise SipError(400, "the description is not lines of text")
     return Offer(
@@ -137,5 +137,5 @@
         description=message.body,
         redialled=message.get("X-Reattempt") not in (None, "", "0"),
         was_cut=within(legs, "again", 0, 0, 1) == 1,
-        leaves_at=now + wait,
+        caller_gives_up_at=now + wait,
     )
--- a/reedmount/interface.py
+++ b/reedmount/interface.py
@@ -67,7 +67,7 @@
     name: str
     worth: float
     late_share: float
-    aim_us: int
+    target_us: int
     give_up_us: int
     effect: Effect
     servers: tuple[int, ...] | None
@@ -85,7 +85,7 @@
 class Settings:
     """What a site tells each proxy at its start."""
 
-    proxies: int
+    instances: int
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...]
     over_quota_share: float
@@ -99,7 +99,7 @@
     may_cancel: bool
     redials_marked: bool
     subscribe: bool
-    longest_pause_us: float = math.inf  # that callers heed when they are refused; 0: they are told none
+    max_retry_after_us: float = math.inf  # that callers heed when they are refused; 0: they are told none
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
+class CallEstablished:
     """An attempt was answered: the call is set up."""
 
     call: int
@@ -170,7 +170,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerAbandoned:
     """The caller left; nothing more is owed."""
 
     call: int
@@ -184,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reports:
+class LoadReports:
     """What servers told of themselves, unasked or to a probe. All that came at once are one event: each event
     costs the module a look at all that it holds, and many servers tell at the same instant."""
 
@@ -199,7 +199,16 @@
     body: bytes
 
 
-Event = ServerList | NewCall | CallStands | AttemptEnded | CallerGone | TimerFired | Reports | PeerNote
+Event = (
+    ServerList
+    | NewCall
+    | CallEstablished
+    | AttemptEnded
+    | CallerAbandoned
+    | TimerFired
+    | LoadReports
+    | PeerNote
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/reedmount/members/anti_entropy.py
+++ b/reedmount/members/anti_entropy.py
@@ -15,8 +15,8 @@
 class Repair:
     """Anti-entropy of the view: gossip is bounded, so some member misses something some day."""
 
-    def __init__(self, view: View, box: Outbox, spread: Spread[Record], chance: random.Random) -> None:
-        self._view, self._box, self._spread, self._chance = view, box, spread, chance
+    def __init__(self, view: View, box: Outbox, spread: Spread[Record], rng: random.Random) -> None:
+        self._view, self._box, self._spread, self._rng = view, box, spread, rng
         self._differs = 0  # digests in a row that were other ones while nothing was on its way
         self._begun = False  # in this period
 
@@ -47,7 +47,7 @@
             return
         differing = self._view.differing(theirs)
         records = [record for bucket in differing for record in self._view.of_bucket(bucket)]
-        self._chance.shuffle(records)  # more than fit now: the others have their chance the next time
+        self._rng.shuffle(records)  # more than fit now: the others have their chance the next time
         self._box.send_pages(message.sender, records)
         if message.seq == 1:
             self._box.send(Kind.BUCKETS, message.sender, seq=0, buckets=pack_buckets(self._view.buckets))
--- a/reedmount/members/capacity_sharing.py
+++ b/reedmount/members/capacity_sharing.py
@@ -16,10 +16,10 @@
 
 import math
 
-LEAST_SHARE = 0.8
+MIN_SHARE = 0.8
 
 
-def sharers(configured: int, alive: int, sure: bool) -> int:
+def sharing_instances(configured: int, alive: int, sure: bool) -> int:
     """How many to share with, ourselves included; at least 1.
 
     ``alive``: members that are alive in our view, guests and ourselves included. More than are configured
@@ -28,4 +28,4 @@
     most = max(1, configured, alive)
     if alive >= configured or not sure:
         return most
-    return max(1, alive, math.ceil(LEAST_SHARE * configured))
+    return max(1, alive, math.ceil(MIN_SHARE * configured))
--- a/reedmount/members/knowledge.py
+++ b/reedmount/members/knowledge.py
@@ -23,18 +23,18 @@
 import msgspec
 from msgspec import Meta
 
-from reedmount.members.record import NAME_MOST
+from reedmount.members.record import MAX_NAME
 
-OBSERVERS_LEAST = 3  # or all that there are, where these are fewer
-WAY_MOST = timedelta(milliseconds=50)  # added to the age at each hand, for the way
+MIN_OBSERVERS = 3  # or all that there are, where these are fewer
+MAX_WAY = timedelta(milliseconds=50)  # added to the age at each hand, for the way
 OLDEST = timedelta(seconds=60)  # what is older is neither told nor believed
 SAME = timedelta(milliseconds=500)  # two hands more or less on the way make at most some 0.3 s of an age
 HALF_LIFE = timedelta(seconds=5)  # in which a fact loses half of its weight
 HELD_BACK = timedelta(seconds=8)  # how long a drain by hearsay holds: lists are up to 7 s late
-SERVER_MOST = 48  # bytes of a server's name: an IPv6 address and its port
-SERVERS_MOST, OBSERVERS_MOST = 4096, 16  # facts that are kept: of so many servers, of each by so many members
+MAX_SERVER = 48  # bytes of a server's name: an IPv6 address and its port
+MAX_SERVERS, MAX_OBSERVERS = 4096, 16  # facts that are kept: of so many servers, of each by so many members
 MILLI = timedelta(milliseconds=1)
-AGE_MOST = 2**22  # ms in a datagram: beyond any age that is believed
+MAX_AGE = 2**22  # ms in a datagram: beyond any age that is believed
 
 
 class ListState(IntEnum):
@@ -48,14 +48,14 @@
 class Fact(msgspec.Struct, frozen=True, array_like=True):
     """What one member saw of one server itself, as it travels. Fields are only ever added at the end."""
 
-    server: Annotated[str, Meta(min_length=1, max_length=SERVER_MOST)]
-    by: Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-    age_ms: Annotated[int, Meta(ge=0, le=AGE_MOST)]  # when it was sent
+    server: Annotated[str, Meta(min_length=1, max_length=MAX_SERVER)]
+    by: Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
+    age_ms: Annotated[int, Meta(ge=0, le=MAX_AGE)]  # when it was sent
     state: ListState
-    cold_ms: Annotated[int, Meta(ge=-1, le=AGE_MOST)] = -1  # since its start was seen; -1: it is warm
+    cold_ms: Annotated[int, Meta(ge=-1, le=MAX_AGE)] = -1  # since its start was seen; -1: it is warm
     window: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # set-ups unanswered there, in hundredths
     delay_us: Annotated[int, Meta(ge=0, le=60_000_000)] = 0  # smoothed
-    rest_ms: Annotated[int, Meta(ge=0, le=AGE_MOST)] = 0  # of the hold-off of its flag; 0: no flag
+    rest_ms: Annotated[int, Meta(ge=0, le=MAX_AGE)] = 0  # of the hold-off of its flag; 0: no flag
 
     def same_as(self, other: Fact) -> bool:
         """Whether it says the same, whenever that was."""
@@ -71,7 +71,7 @@
 
     def aged(self, now: datetime) -> Fact:
         """The fact as it is told now: its age by our clock, so that it never gets younger on its way."""
-        age = min(AGE_MOST, -((self.observed - now) // MILLI))
+        age = min(MAX_AGE, -((self.observed - now) // MILLI))
         return msgspec.structs.replace(self.fact, age_ms=max(self.fact.age_ms, age))
 
     def repeats(self, known: Heard) -> bool:
@@ -126,7 +126,7 @@
 
         What is said to come from ourselves is not taken: it is from a life before this one.
         """
-        observed = now - fact.age_ms * MILLI - WAY_MOST
+        observed = now - fact.age_ms * MILLI - MAX_WAY
         if fact.by == self._me or now - observed > OLDEST:
             return False
         heard, known = Heard(fact, observed), self.get(fact.server, fact.by)
@@ -146,7 +146,7 @@
     def beliefs(self, now: datetime, others: int) -> list[Belief]:
         """What to take to be so, as a newcomer among so many others."""
         self.forget(now)
-        wanted = max(1, min(OBSERVERS_LEAST, others))
+        wanted = max(1, min(MIN_OBSERVERS, others))
         return [self._belief(now, name, list(kept.values()), wanted) for name, kept in self._heard.items()]
 
     def forget(self, now: datetime) -> None:
@@ -161,11 +161,11 @@
     def _keep(self, heard: Heard) -> bool:
         kept = self._heard.get(heard.fact.server)
         if kept is None:
-            if len(self._heard) >= SERVERS_MOST:
+            if len(self._heard) >= MAX_SERVERS:
                 return False
             kept = self._heard[heard.fact.server] = {}
         kept[heard.fact.by] = heard
-        if len(kept) > OBSERVERS_MOST:
+        if len(kept) > MAX_OBSERVERS:
             del kept[min(kept, key=lambda by: kept[by].observed)]
         return True
 
--- a/reedmount/members/outbox.py
+++ b/reedmount/members/outbox.py
@@ -14,7 +14,7 @@
 from reedmount.members.wire import Kind, Message, write, write_facts
 from reedmount.net.connection import Address
 
-NEWS_MOST = 12  # records that could have room in a datagram
+MAX_NEWS = 12  # records that could have room in a datagram
 PAGES = 3  # datagrams of records in one answer
 
 
@@ -125,6 +125,6 @@
         for record in self._spread.waiting():
             if record.name not in names:
                 news.append(record)
-            if len(news) == NEWS_MOST:
+            if len(news) == MAX_NEWS:
                 break
         return news
--- a/reedmount/members/prober.py
+++ b/reedmount/members/prober.py
@@ -8,7 +8,7 @@
 from reedmount.members.timer_queue import Due
 from reedmount.members.view import View
 
-RELAYED_MOST = 256  # probes that we carry out for others at once; more are not begun
+MAX_RELAYED = 256  # probes that we carry out for others at once; more are not begun
 
 
 @dataclass(slots=True)
@@ -39,17 +39,17 @@
     So each is probed at least once in two rounds, whatever the draw: SWIM's bound of the detection time.
     """
 
-    def __init__(self, view: View, chance: random.Random) -> None:
-        self._view, self._chance = view, chance
+    def __init__(self, view: View, rng: random.Random) -> None:
+        self._view, self._rng = view, rng
         self._left: list[str] = []  # of this round, the next one last
 
     def joined(self, name: str) -> None:
         """One more. Where they come faster than they are probed, the round begins anew: it stays bounded."""
         if len(self._left) > 2 * len(self._view.there):
             self._left = list(self._view.there)
-            self._chance.shuffle(self._left)
+            self._rng.shuffle(self._left)
             return
-        self._left.insert(self._chance.randrange(len(self._left) + 1), name)
+        self._left.insert(self._rng.randrange(len(self._left) + 1), name)
 
     def next(self) -> str | None:
         """Whom to probe now; None where nobody else is there."""
@@ -59,5 +59,5 @@
                 if name in self._view.there:
                     return name
             self._left = list(self._view.there)
-            self._chance.shuffle(self._left)
+            self._rng.shuffle(self._left)
         return None
--- a/reedmount/members/protocol.py
+++ b/reedmount/members/protocol.py
@@ -21,8 +21,8 @@
 from reedmount.members.knowledge import Fact
 from reedmount.members.observation_gossip import Rumours
 from reedmount.members.outbox import PAGES, Outbox, Output, Stood, Told
-from reedmount.members.prober import RELAYED_MOST, Probe, Relayed, Round
-from reedmount.members.quorum import Count, Roster, Standing
+from reedmount.members.prober import MAX_RELAYED, Probe, Relayed, Round
+from reedmount.members.quorum import Count, Standing, VoterSet
 from reedmount.members.record import WORD, Record, State
 from reedmount.members.settings import Timing
 from reedmount.members.suspects import AT_LAST, Suspects
@@ -45,31 +45,31 @@
         timing: Timing,
         group: str,
         me: Record,
-        rosters: tuple[Roster, ...],
-        ways_in: tuple[Address, ...],
+        voter_sets: tuple[VoterSet, ...],
+        seed_addresses: tuple[Address, ...],
         seed: int,
-        guests: bool = True,
+        nonvoters: bool = True,
     ) -> None:
         """``rosters``: ours, then those before it that others may still go by. ``ways_in``: addresses to join
         by. ``guests``: whether members outside the rosters are taken (they never count)."""
         self.timing, self.group = timing, group_of(group)
         self.health = LocalHealth()
         self.damping = Damping()
-        self._chance = random.Random(seed)
-        self._kept = frozenset[str]().union(*(roster.names for roster in rosters))
-        self._guests = guests
-        self._ways_in = tuple(way for way in dict.fromkeys(ways_in) if way != me.address)
+        self._rng = random.Random(seed)
+        self._kept = frozenset[str]().union(*(voters.names for voters in voter_sets))
+        self._nonvoters = nonvoters
+        self._seed_addresses = tuple(way for way in dict.fromkeys(seed_addresses) if way != me.address)
         self._found_ways: tuple[Address, ...] = ()
         self.view = View(me.name, self._kept, timing.forget)
-        self.count = Count(me.name, rosters)
+        self.count = Count(me.name, voter_sets)
         self.standing = Standing.JOINING
         self.left = False
         self._spread: Spread[Record] = Spread(timing.times)
         self.rumours = Rumours(me.name, timing.times)
-        self._box = Outbox(self.group, replace(me, roster=rosters[0].id), self.view, self._spread)
-        self._round = Round(self.view, self._chance)
+        self._box = Outbox(self.group, replace(me, voters_id=voter_sets[0].id), self.view, self._spread)
+        self._round = Round(self.view, self._rng)
         self._dues = Dues()
-        self._seq = self._chance.randrange(WORD)
+        self._seq = self._rng.randrange(WORD)
         self._probes: dict[int, Probe] = {}
         self._relayed: dict[int, Relayed] = {}
         self._suspects = Suspects(timing, self.view, self._dues, self._box, self._called_dead)
@@ -78,7 +78,7 @@
         self._restand = True  # what the standing goes by has changed
         self._periods = 0
         self._gossiping = False
-        self._repair = Repair(self.view, self._box, self._spread, self._chance)
+        self._repair = Repair(self.view, self._box, self._spread, self._rng)
 
     # --- what the owner calls ---
 
@@ -86,7 +86,7 @@
         """Begin: ask who is there, and probe from now on, out of step with the others."""
         self._say(now, self.me)
         self._join(now)
-        self._dues.at(now + self.timing.interval * self._chance.random(), self._period)
+        self._dues.at(now + self.timing.interval * self._rng.random(), self._period)
         self._dues.at(now + self.timing.interval, self._sweep)
         return self._done()
 
@@ -131,7 +131,7 @@
         """Say that we go, for good: nobody has to find out. What comes after it is answered no more."""
         self.left = True
         self._say(now, replace(self.me, incarnation=self.me.incarnation + 1, state=State.LEFT))
-        self._gossip_to(self.view.there.draw(self._chance, 2 * self.timing.fanout))
+        self._gossip_to(self.view.there.draw(self._rng, 2 * self.timing.fanout))
         return self._done()
 
     @property
@@ -166,7 +166,7 @@
             reason = "own_name"  # of a life before this one, or a second process under our name
         elif sender.address != source:
             reason = "source"
-        elif not self._guests and sender.name not in self._kept:
+        elif not self._nonvoters and sender.name not in self._kept:
             reason = "stranger"
         elif not self.view.believable(sender):
             reason = "jump"
@@ -186,7 +186,7 @@
         for record in message.records:
             if record.name == self.me.name:
                 self._about_me(now, record)
-            elif (self._guests or record.name in self._kept) and self.view.believable(record):
+            elif (self._nonvoters or record.name in self._kept) and self.view.believable(record):
                 self._learn(now, record, pass_on=not page or self.view.get(record.name) is not None)
             else:
                 COUNTERS.add("members.records_refused")
@@ -244,7 +244,7 @@
             if self.damping.came_back(now, name):
                 COUNTERS.add("members.damped")
                 self.count.damp(name, True, new.state)
-        elif old is not None and old.there and new.there and old.life != new.life:
+        elif old is not None and old.there and new.there and old.boot_id != new.boot_id:
             COUNTERS.add("members.restarted")
         if new.state is State.SUSPECT:
             self._suspects.begin(now, new)
@@ -260,10 +260,10 @@
         if not self.view.believable(record):
             COUNTERS.add("members.dropped.jump")
             return
-        if record.life == self.me.life and record.state is not State.ALIVE:
+        if record.boot_id == self.me.boot_id and record.state is not State.ALIVE:
             self.health.worse()
             COUNTERS.add("members.refuted")
-        elif record.life != self.me.life and self._joined:
+        elif record.boot_id != self.me.boot_id and self._joined:
             COUNTERS.add("members.twin")  # a process before us would have been met while we joined
         self._say(now, replace(self.me, incarnation=record.incarnation + 1))
 
@@ -280,7 +280,7 @@
         if name is not None:
             self._probe(now, name)
         if self._periods % self.timing.dead_every == 0 and len(self.view.dead):
-            self._probe(now, self.view.dead.draw(self._chance, 1)[0])
+            self._probe(now, self.view.dead.draw(self._rng, 1)[0])
 
     def _sweep(self, now: datetime) -> None:
         """Once an interval, however we do: whom we heard of late, what is forgotten, who is damped."""
@@ -324,7 +324,7 @@
             return
         self._box.send(Kind.PING, target, seq=probe.seq, target=probe.name)
         if not probe.relays:
-            names = self.view.there.draw(self._chance, self.timing.relays, but=probe.name)
+            names = self.view.there.draw(self._rng, self.timing.relays, but=probe.name)
             probe.relays = [name for name in names if self._alive(name)]
             probe.asked.update(probe.relays)
         for name in probe.relays:
@@ -384,7 +384,7 @@
         """Probe one for another member, which could not reach it."""
         target = self.view.get(message.target)
         asker = message.sender
-        if target is None or len(self._relayed) >= RELAYED_MOST:
+        if target is None or len(self._relayed) >= MAX_RELAYED:
             COUNTERS.add("members.relays_refused")
             self._box.send(Kind.NACK, asker, seq=message.seq, target=message.target)
             return
@@ -419,8 +419,8 @@
 
     def _join(self, now: datetime) -> None:
         """Ask some of the ways in who is there, until enough have answered."""
-        known = list(dict.fromkeys(self._ways_in + self._found_ways))
-        for way in self._chance.sample(known, min(JOIN_ASKED, len(known))):
+        known = list(dict.fromkeys(self._seed_addresses + self._found_ways))
+        for way in self._rng.sample(known, min(JOIN_ASKED, len(known))):
             self._box.send_to(Kind.JOIN, way)
         self._look_whether_in_touch()
 
@@ -437,7 +437,7 @@
 
     def _tell_all(self, now: datetime, sender: Record) -> None:
         """Some of the table to a newcomer, drawn at random: several are asked, and repair brings the rest."""
-        names = self.view.there.draw(self._chance, len(self.view.there), but=sender.name)
+        names = self.view.there.draw(self._rng, len(self.view.there), but=sender.name)
         known = [record for name in names if (record := self.view.get(name)) is not None]
         self._box.send_pages(sender, known)
         facts = self.rumours.all_facts(now)
@@ -461,13 +461,13 @@
     def _wake_gossip(self, now: datetime) -> None:
         if not self._gossiping:
             self._gossiping = True
-            self._dues.at(now + self.timing.gossip * self._chance.random(), self._gossip)
+            self._dues.at(now + self.timing.gossip * self._rng.random(), self._gossip)
 
     def _gossip(self, now: datetime) -> None:
         self._gossiping = False
         if not self.news:
             return
-        names = self.view.there.draw(self._chance, self.timing.fanout)
+        names = self.view.there.draw(self._rng, self.timing.fanout)
         if len(self._spread):
             self._gossip_to(names)
         self._tell_facts(now, names)
--- a/reedmount/members/quorum.py
+++ b/reedmount/members/quorum.py
@@ -19,13 +19,13 @@
     MAJORITY = "majority"
 
     @property
-    def may_decide(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether it is worth asking for what must be unique; a term or lease has to fence it besides."""
         return self is Standing.MAJORITY
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
+class VoterSet:
     """Who counts, by the settings."""
 
     version: int
@@ -47,7 +47,7 @@
 class _Tally:
     """Of one roster: how many are in each state. Kept by difference: a change costs one step."""
 
-    roster: Roster
+    voters: VoterSet
     states: Counter[State] = field(default_factory=Counter)
     damped: int = 0  # of those alive
 
@@ -55,30 +55,30 @@
 class Count:
     """The tallies of all rosters that matter now."""
 
-    def __init__(self, me: str, rosters: tuple[Roster, ...]) -> None:
+    def __init__(self, me: str, voter_sets: tuple[VoterSet, ...]) -> None:
         self._me = me
-        self._tallies = [_Tally(roster) for roster in rosters]
-        self._known = {roster.id for roster in rosters}
+        self._tallies = [_Tally(voters) for voters in voter_sets]
+        self._known = {voters.id for voters in voter_sets}
         self._goes_by: Counter[int] = Counter()  # roster ids of members that are there
         self._damped: set[str] = set()
 
     @property
-    def current(self) -> Roster:
+    def current(self) -> VoterSet:
         """The roster that we go by."""
-        return self._tallies[0].roster
+        return self._tallies[0].voters
 
     def changed(self, name: str, old: Record | None, new: Record | None) -> None:
         """What is known of a member is other now; None: it is not in the table."""
-        if any(name in tally.roster.names for tally in self._tallies):
+        if any(name in tally.voters.names for tally in self._tallies):
             # What guests go by says nothing: one of them could keep all the others from deciding.
             for record, by in ((old, -1), (new, 1)):
-                if record is not None and record.there and record.roster:
-                    self._goes_by[record.roster] += by
+                if record is not None and record.there and record.voters_id:
+                    self._goes_by[record.voters_id] += by
         self._tally(name, None if old is None else old.state, None if new is None else new.state)
 
     def _tally(self, name: str, old: State | None, new: State | None) -> None:
         for tally in self._tallies:
-            if name not in tally.roster.names or name == self._me:
+            if name not in tally.voters.names or name == self._me:
                 continue
             if old is not None:
                 tally.states[old] -= 1
@@ -93,7 +93,7 @@
             return
         (self._damped.add if damped else self._damped.discard)(name)
         for tally in self._tallies:
-            if name in tally.roster.names and state is State.ALIVE:
+            if name in tally.voters.names and state is State.ALIVE:
                 tally.damped += 1 if damped else -1
 
     def standing(self, joined: bool, in_touch: bool = True) -> Standing:
@@ -103,15 +103,15 @@
         in_use = {roster for roster, members in self._goes_by.items() if members > 0}
         worst = Standing.MAJORITY if in_touch and in_use <= self._known else Standing.UNSURE
         for place, tally in enumerate(self._tallies):
-            if place and tally.roster.id not in in_use:
+            if place and tally.voters.id not in in_use:
                 continue  # nobody goes by that one any more
-            own = self._me in tally.roster.names
+            own = self._me in tally.voters.names
             alive = own + tally.states[State.ALIVE]
             # Where we hear few ourselves, those that we suspect besides are taken for gone: nobody else may
             # be left to share the suspicion, which then takes its longest.
             at_most = alive + (tally.states[State.SUSPECT] if in_touch else 0)
-            if at_most < tally.roster.majority:
+            if at_most < tally.voters.majority:
                 return Standing.MINORITY
-            if alive - tally.damped < tally.roster.majority:
+            if alive - tally.damped < tally.voters.majority:
                 worst = Standing.UNSURE
         return worst
--- a/reedmount/members/record.py
+++ b/reedmount/members/record.py
@@ -13,8 +13,8 @@
 
 from reedmount.net.connection import Address
 
-NAME_MOST = 24  # bytes of a member's name
-ZONE_MOST = 12
+MAX_NAME = 24  # bytes of a member's name
+MAX_ZONE = 12
 WORD = 2**32 - 1  # incarnations, lives, rosters and builds are words of 32 bits
 BUCKETS = 32  # by name, in the digest of a table
 
@@ -33,16 +33,16 @@
 class Record(msgspec.Struct, frozen=True, array_like=True):
     """One claim about one member, as it travels. Fields are only ever added at the end, with a default."""
 
-    name: Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
+    name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
     host: Annotated[bytes, Meta(min_length=4, max_length=16)]  # an IPv4 or IPv6 address
     port: Annotated[int, Meta(ge=1, le=65535)]
     incarnation: Word  # raised by the member alone
-    life: Word  # drawn by each process at its start
+    boot_id: Word  # drawn by each process at its start
     state: State
-    roster: Word = 0  # the id of the roster that it goes by
-    zone: Annotated[str, Meta(max_length=ZONE_MOST)] = ""
+    voters_id: Word = 0  # the id of the roster that it goes by
+    zone: Annotated[str, Meta(max_length=MAX_ZONE)] = ""
     build: Word = 0  # the identity of its program and settings
-    by: Annotated[str, Meta(max_length=NAME_MOST)] = ""  # of a suspicion: who says so; no part of the claim
+    by: Annotated[str, Meta(max_length=MAX_NAME)] = ""  # of a suspicion: who says so; no part of the claim
 
     @property
     def address(self) -> Address:
@@ -53,7 +53,8 @@
     def rank(self) -> tuple[int, State, int, bytes, int, int, str, int]:
         """Total on the claims of one name: the greater wins, so that all tables come to the same."""
         return (
-            self.incarnation, self.state, self.life, self.host, self.port, self.roster, self.zone, self.build
+            self.incarnation, self.state, self.boot_id, self.host, self.port, self.voters_id, self.zone,
+            self.build,
         )  # fmt: skip
 
     @property
@@ -78,16 +79,16 @@
 
 
 def record_of(
-    name: str, address: Address, life: int, roster: int = 0, zone: str = "", build: int = 0
+    name: str, address: Address, boot_id: int, voters_id: int = 0, zone: str = "", build: int = 0
 ) -> Record:
     """A member as it begins: alive, incarnation 0. Raises ValueError where the address is no IP address, or
     a field does not fit: datagrams hold 256 bytes."""
-    if not 1 <= len(name.encode()) <= NAME_MOST or not name.isascii():
-        raise ValueError(f"a member's name is 1 to {NAME_MOST} ASCII characters: {name!r}")
-    if len(zone.encode()) > ZONE_MOST:
-        raise ValueError(f"a zone's name is {ZONE_MOST} bytes at most: {zone!r}")
+    if not 1 <= len(name.encode()) <= MAX_NAME or not name.isascii():
+        raise ValueError(f"a member's name is 1 to {MAX_NAME} ASCII characters: {name!r}")
+    if len(zone.encode()) > MAX_ZONE:
+        raise ValueError(f"a zone's name is {MAX_ZONE} bytes at most: {zone!r}")
     host = ipaddress.ip_address(address[0]).packed
-    return Record(name, host, address[1], 0, life, State.ALIVE, roster, zone, build)
+    return Record(name, host, address[1], 0, boot_id, State.ALIVE, voters_id, zone, build)
 
 
 def bucket_of(name: str) -> int:
--- a/reedmount/members/server_reports.py
+++ b/reedmount/members/server_reports.py
@@ -20,8 +20,8 @@
 from reedmount.members.damping import Damping
 from reedmount.members.knowledge import HELD_BACK, Heard, Knowledge
 
-BOUND_MOST = timedelta(seconds=60)  # what is older is not known any more
-SHARE_MOST = 2  # of the servers that serve one in so many may be held back, and one in so many paced
+MAX_BOUND = timedelta(seconds=60)  # what is older is not known any more
+MAX_SHARE = 2  # of the servers that serve one in so many may be held back, and one in so many paced
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     def __init__(self, knowledge: Knowledge, cold: timedelta, bound: timedelta = HELD_BACK) -> None:
         """``cold``: how long a server that has started is cold; ``bound``: the longest hold, 0 to 60 s."""
         self._knowledge, self._cold = knowledge, cold
-        self.bound = min(bound, BOUND_MOST)
+        self.bound = min(bound, MAX_BOUND)
         self.doubted = Damping()
         self.verdict = Verdict()
 
@@ -55,7 +55,7 @@
         """Decide anew. ``serving`` says whether our own sources have a server in service, ``count`` how many
         they have."""
         self.doubted.sweep(now)
-        room = count // SHARE_MOST
+        room = count // MAX_SHARE
         held: dict[str, Hold] = {}
         starts: dict[str, datetime] = {}
         for server, kept in self._knowledge:
--- a/reedmount/members/view.py
+++ b/reedmount/members/view.py
@@ -9,8 +9,8 @@
 
 from reedmount.members.record import BUCKETS, Record, State, bucket_of
 
-RECORDS_MOST = 4096
-JUMP_MOST = 1 << 20  # of an incarnation over what is known: a lie that leaves no room to refute it
+MAX_RECORDS = 4096
+MAX_JUMP = 1 << 20  # of an incarnation over what is known: a lie that leaves no room to refute it
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,9 +61,9 @@
         if last != name:
             self._list[at], self._at[last] = last, at
 
-    def draw(self, chance: random.Random, count: int, but: str = "") -> list[str]:
+    def draw(self, rng: random.Random, count: int, but: str = "") -> list[str]:
         """So many different ones, or all that there are, in random order."""
-        drawn = chance.sample(self._list, min(len(self._list), count + 1))
+        drawn = rng.sample(self._list, min(len(self._list), count + 1))
         return [name for name in drawn if name != but][:count]
 
 
@@ -101,14 +101,14 @@
     def believable(self, record: Record) -> bool:
         """Whether its incarnation leaves the member room to refute it."""
         known = self._records.get(record.name)
-        return record.incarnation <= (known.incarnation if known is not None else 0) + JUMP_MOST
+        return record.incarnation <= (known.incarnation if known is not None else 0) + MAX_JUMP
 
     def take(self, now: datetime, record: Record) -> Change | None:
         """Merge one claim; what it changed, if it won. None too where the table is full of others."""
         old = self._records.get(record.name)
         if old is not None and record.rank <= old.rank:
             return None
-        if old is None and len(self._records) >= RECORDS_MOST and not self._make_room():
+        if old is None and len(self._records) >= MAX_RECORDS and not self._make_room():
             return None
         self._weigh(old)
         self._weigh(record)
--- a/reedmount/members/wire.py
+++ b/reedmount/members/wire.py
@@ -19,16 +19,16 @@
 from msgspec import Meta
 
 from reedmount.members.knowledge import Fact
-from reedmount.members.record import BUCKETS, NAME_MOST, WORD, Record, Word
+from reedmount.members.record import BUCKETS, MAX_NAME, WORD, Record, Word
 
-DATAGRAM_MOST = 256  # bytes; a longer one voids a run on the platform
+MAX_DATAGRAM = 256  # bytes; a longer one voids a run on the platform
 MAGIC = b"RM"
 VERSION = 1  # what we write
 READ_FROM = 1  # the oldest version that can read what we write
 HEAD = struct.Struct(">2sBBII")
 BUCKET_BYTES = 4
-RECORDS_MOST = 32  # in one datagram, whatever its length says
-FACTS_MOST = 16
+MAX_RECORDS = 32  # in one datagram, whatever its length says
+MAX_FACTS = 16
 
 
 class WireError(Exception):
@@ -61,10 +61,10 @@
     seq: Word
     sender: Record
     digest: Annotated[bytes, Meta(min_length=8, max_length=8)]  # of the sender's table
-    target: Annotated[str, Meta(max_length=NAME_MOST)] = ""
+    target: Annotated[str, Meta(max_length=MAX_NAME)] = ""
     buckets: Annotated[bytes, Meta(max_length=BUCKETS * BUCKET_BYTES)] = b""
-    records: Annotated[list[Record], Meta(max_length=RECORDS_MOST)] = []
-    facts: Annotated[list[Fact], Meta(max_length=FACTS_MOST)] = []
+    records: Annotated[list[Record], Meta(max_length=MAX_RECORDS)] = []
+    facts: Annotated[list[Fact], Meta(max_length=MAX_FACTS)] = []
 
 
 class _Out(msgspec.Struct, array_like=True):
@@ -97,14 +97,14 @@
 def write(group: int, message: Message, records: Iterable[Record] = ()) -> tuple[bytes, int]:
     """A datagram with as many of these records, in their order, as have room; how many these were."""
     out = _out_of(message)
-    out.records = _fill(out, records, RECORDS_MOST)
+    out.records = _fill(out, records, MAX_RECORDS)
     return _sealed(group, _encode(out)), len(out.records)
 
 
 def write_facts(group: int, message: Message, facts: Iterable[Fact]) -> tuple[bytes, int]:
     """The same with facts."""
     out = _out_of(message)
-    out.facts = _fill(out, facts, FACTS_MOST)
+    out.facts = _fill(out, facts, MAX_FACTS)
     return _sealed(group, _encode(out)), len(out.facts)
 
 
@@ -114,7 +114,7 @@
 
 
 def _fill(out: _Out, items: Iterable[Record | Fact], most: int) -> list[msgspec.Raw]:
-    room = DATAGRAM_MOST - HEAD.size - len(_encode(out)) - 2  # the array's head may grow by that
+    room = MAX_DATAGRAM - HEAD.size - len(_encode(out)) - 2  # the array's head may grow by that
     taken: list[msgspec.Raw] = []
     for item in items:
         raw = _encode(item)
@@ -128,7 +128,7 @@
 def read(group: int, data: bytes) -> Message:
     """The message in a datagram. Raises WireError with the reason: ``long``, ``short``, ``foreign`` (not of
     members at all), ``newer``, ``group``, ``damaged`` or ``malformed``."""
-    if len(data) > DATAGRAM_MOST:
+    if len(data) > MAX_DATAGRAM:
         raise WireError("long")
     if len(data) < HEAD.size:
         raise WireError("short")
