--- a/reedmount/net/connection.py
+++ b/reedmount/net/connection.py
@@ -23,7 +23,7 @@
 Address = tuple[str, int]
 
 
-class End(Enum):
+class EndReason(Enum):
     """How a connection came to its end."""
 
     CLOSED = "closed by the peer"
@@ -38,7 +38,7 @@
     """What is told of a connection that has ended."""
 
 
-def _nobody(_: Connection, __: End) -> None:
+def _nobody(_: Connection, __: EndReason) -> None:
     """Who is told of its end a second time."""
 
 
@@ -50,16 +50,18 @@
         loop: Loop,
         sock: socket.socket,
         on_data: Callable[[Connection], None],
-        on_end: Callable[[Connection, End], None],
+        on_end: Callable[[Connection, EndReason], None],
         on_sent: Callable[[Connection], None] = lambda _: None,
         urgent: bool = False,
     ) -> None:
         self.incoming = Ring(IN_BOUND)
-        self.up = True
+        self.connected = True
         self.ended = False
-        self.left = False  # the peer sends no more, though what it sent before may not all be read yet
+        self.peer_finished = (
+            False  # the peer sends no more, though what it sent before may not all be read yet
+        )
         self.opened_at: datetime = loop.clock.now()
-        self.heard_at: datetime = self.opened_at
+        self.last_received_at: datetime = self.opened_at
         self._outgoing = Ring(OUT_BOUND)
         self._loop, self._sock, self._urgent = loop, sock, urgent
         self._on_data, self._on_end, self._on_sent = on_data, on_end, on_sent
@@ -77,70 +79,70 @@
         address: Address,
         longest: timedelta,
         on_data: Callable[[Connection], None],
-        on_end: Callable[[Connection, End], None],
+        on_end: Callable[[Connection, EndReason], None],
         on_sent: Callable[[Connection], None] = lambda _: None,
         source: str | None = None,
     ) -> Connection:
         """Connect; ``on_sent`` tells that it is up. A time-out and a refusal are told apart in ``on_end``.
         ``source``: the address of ours that the peer sees; OSError where it is none."""
-        sock = socket.socket(family_of(address), socket.SOCK_STREAM)
+        sock = socket.socket(address_family(address), socket.SOCK_STREAM)
         sock.setblocking(False)
         if source is not None:
             sock.bind((source, 0))
         code = sock.connect_ex(address)
         made = cls(loop, sock, on_data, on_end, on_sent)
-        made.up = False
+        made.connected = False
         made._watch()
         if code not in (0, errno.EINPROGRESS):
-            end = End.REFUSED if code == errno.ECONNREFUSED else End.NEVER_UP
-            loop.soon(lambda: made.close(end))
-        made._timer = loop.after(longest, made._give_up)
+            end = EndReason.REFUSED if code == errno.ECONNREFUSED else EndReason.NEVER_UP
+            loop.call_soon(lambda: made.close(end))
+        made._timer = loop.call_later(longest, made._give_up)
         return made
 
     def _give_up(self) -> None:
-        if not self.up:
-            self.close(End.NEVER_UP)
+        if not self.connected:
+            self.close(EndReason.NEVER_UP)
 
     @property
     def idle(self) -> bool:
         """Whether all that was sent is with the system: nothing waits here."""
-        return self.up and not self._outgoing
+        return self.connected and not self._outgoing
 
     def send(self, data: bytes) -> None:
         """Write what the system takes now and keep the rest."""
         if self.ended:
             return
-        if self.up and not self._outgoing and not self._closing:
+        if self.connected and not self._outgoing and not self._closing:
             try:
                 sent = self._sock.send(data)
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._loop.soon(lambda: self.close(End.RESET))
+                self._loop.call_soon(lambda: self.close(EndReason.RESET))
                 return
             if sent == len(data):
                 return
             data = data[sent:]
         if not self._outgoing.write(data):
-            self._loop.soon(lambda: self.close(End.STUCK))
+            self._loop.call_soon(lambda: self.close(EndReason.STUCK))
             return
-        if self.up:
+        if self.connected:
             self._flush()
 
-    def close(self, end: End = End.OURS) -> None:
+    def close(self, end: EndReason = EndReason.OURS) -> None:
         """Close at once; the owner is told unless it did it itself."""
         if self.ended:
             return
-        self.ended, self.up = True, False
+        self.ended, self.connected = True, False
         self._close_socket()
         tell = self._on_end
         # Nothing is left that goes round in circles: a day of brief connections is no work for the collector.
         self._on_data = self._on_sent = _nothing
         self._on_end = _nobody
-        if end is not End.OURS:
+        if end is not EndReason.OURS:
             tell(self, end)
 
-    def close_softly(self, longest: timedelta) -> None:
+    def close_gracefully(self, longest: timedelta) -> None:
         """Say that no more comes, and drop what the peer still sends until it closes or the time is over.
 
         Closing at once answers what is on its way with a reset, and the peer may never read what came before.
@@ -149,7 +151,7 @@
         if self.ended or not self.idle:
             self.close()
             return
-        self.ended, self.up = True, False
+        self.ended, self.connected = True, False
         self._on_data = self._on_sent = _nothing
         self._on_end = _nobody
         try:
@@ -158,7 +160,7 @@
             self._close_socket()
             return
         self._loop.watch(self._sock.fileno(), READ | GONE, self._drop_rest, self._urgent)
-        self._timer = self._loop.after(longest, self._close_socket)
+        self._timer = self._loop.call_later(longest, self._close_socket)
 
     def _drop_rest(self, _: int) -> None:
         try:
@@ -177,13 +179,13 @@
             self._loop.unwatch(self._sock.fileno())
             self._sock.close()
 
-    def finish(self) -> None:
+    def finish_writing(self) -> None:
         """Send no more and say so; what the peer has sent until it closes as well is still read."""
-        if self.up and not self.ended:
+        if self.connected and not self.ended:
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:
-                self._loop.soon(lambda: self.close(End.RESET))
+                self._loop.call_soon(lambda: self.close(EndReason.RESET))
 
     @property
     def unread(self) -> bool:
@@ -195,35 +197,35 @@
         except OSError:
             return False
 
-    def close_when_sent(self) -> None:
+    def close_after_send(self) -> None:
         """Close once all is written."""
         self._closing = True
         if self.idle:
             self.close()
 
     def _watch(self) -> None:
-        wanted = READ | GONE if self.up and not self._outgoing else READ | WRITE | GONE
+        wanted = READ | GONE if self.connected and not self._outgoing else READ | WRITE | GONE
         if wanted != self._watched:
             self._watched = wanted
             self._loop.watch(self._sock.fileno(), wanted, self._ready, self._urgent)
 
     def _ready(self, events: int) -> None:
-        if not self.up:
+        if not self.connected:
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
-                self.close(End.REFUSED if code == errno.ECONNREFUSED else End.NEVER_UP)
+                self.close(EndReason.REFUSED if code == errno.ECONNREFUSED else EndReason.NEVER_UP)
                 return
             if not events & WRITE:
                 return
-            self.up = True
-            self.opened_at = self.heard_at = self._loop.clock.now()
+            self.connected = True
+            self.opened_at = self.last_received_at = self._loop.clock.now()
             self._watch()
             self._on_sent(self)
             if not self.ended and self._outgoing:
                 self._flush()
         elif events & WRITE and not self.ended:
             self._flush()
-        self.left = self.left or bool(events & GONE)
+        self.peer_finished = self.peer_finished or bool(events & GONE)
         if not self.ended and events & ~WRITE:
             self._read()
 
@@ -231,19 +233,19 @@
         """Read once a turn: its owner takes that before more is read, and others have their turn."""
         room = self.incoming.room
         if not room:
-            self.close(End.STUCK)  # its reader left a message longer than any may be
+            self.close(EndReason.STUCK)  # its reader left a message longer than any may be
             return
         try:
             data = self._sock.recv(min(CHUNK, room))
         except BlockingIOError:
             return
         except OSError:
-            self.close(End.RESET)
+            self.close(EndReason.RESET)
             return
         if not data:
-            self.close(End.CLOSED)
+            self.close(EndReason.CLOSED)
             return
-        self.heard_at = self._loop.clock.now()
+        self.last_received_at = self._loop.clock.now()
         self.incoming.write(data)
         if len(self.incoming) >= self.incoming.wanted:  # else its reader could only look and go
             self._on_data(self)
@@ -257,7 +259,7 @@
                 break
             except OSError:
                 # The owner is amid something else: it is told after that.
-                self._loop.soon(lambda: self.close(End.RESET))
+                self._loop.call_soon(lambda: self.close(EndReason.RESET))
                 return
             self._outgoing.drop(sent)
         self._watch()
@@ -271,7 +273,7 @@
 def both(loop: Loop, address: Address, on_accept: Callable[[socket.socket], None]) -> socket.socket:
     """Listen for connections and return a socket for datagrams at the same address."""
     for tries_left in range(PORTS_TRIED, -1, -1):
-        udp = socket.socket(family_of(address), socket.SOCK_DGRAM)
+        udp = socket.socket(address_family(address), socket.SOCK_DGRAM)
         udp.setblocking(False)
         try:
             udp.bind(address)
@@ -286,7 +288,7 @@
 
 def bind(address: Address, shared: bool = False) -> socket.socket:
     """A socket that listens at an address; a shared one leaves room for that of another process."""
-    sock = socket.socket(family_of(address), socket.SOCK_STREAM)
+    sock = socket.socket(address_family(address), socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         if shared:
@@ -344,7 +346,7 @@
                 # Out of descriptors: looked at again a little later, lest the loop turn for nothing else.
                 log(f"accept: {error}", "accept")
                 self._loop.unwatch(self.sock.fileno())
-                self._loop.after(ACCEPT_AGAIN, self._again)
+                self._loop.call_later(ACCEPT_AGAIN, self._again)
                 return
             self._on_accept(accepted)
 
@@ -358,18 +360,18 @@
     return listener.sock
 
 
-def family_of(address: Address) -> socket.AddressFamily:
+def address_family(address: Address) -> socket.AddressFamily:
     """IPv6 where the host is written with colons."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
-def text_of(address: Address) -> str:
+def format_address(address: Address) -> str:
     """An address as it is written: ``192.0.2.1:5060``, ``[2001:db8::1]:5060``."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Read ``host:port``, an IPv6 address in brackets."""
     host, colon, port = text.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
--- a/reedmount/net/loop.py
+++ b/reedmount/net/loop.py
@@ -47,7 +47,7 @@
             self._first.discard(fd)
 
     @property
-    def watched(self) -> int:
+    def watched_count(self) -> int:
         """How many descriptors are heard of: all but a few that the process has open."""
         return len(self._handlers)
 
@@ -67,7 +67,7 @@
         for fd, events in found:
             handler = self._handlers.get(fd)  # one closed earlier in this turn is passed over
             if handler is not None:
-                self.do(handler, events)
+                self.run_safely(handler, events)
                 busy = True
                 self._breathe()
         busy = self._run_timers() or busy
@@ -86,9 +86,9 @@
             handler = self._handlers.get(fd)
             if handler is not None:
                 held, self._ready = self._ready, deque()
-                self.do(handler, events)
+                self.run_safely(handler, events)
                 while self._ready:
-                    self.do(self._ready.popleft())
+                    self.run_safely(self._ready.popleft())
                 self._ready = held
         return bool(found)
 
@@ -102,6 +102,6 @@
     def _drain(self) -> bool:
         busy = bool(self._ready)
         while self._ready:
-            self.do(self._ready.popleft())
+            self.run_safely(self._ready.popleft())
             self._breathe()
         return busy
--- a/reedmount/node.py
+++ b/reedmount/node.py
@@ -15,13 +15,13 @@
 from reedmount.core.lifecycle import Need, Phase
 from reedmount.core.shutdown import earliest_kill
 from reedmount.core.switch import Switch
-from reedmount.fronts.admin import DOOR_SOCKETS, Door, View
-from reedmount.fronts.board import Board, Pool
+from reedmount.fronts.admin import ADMIN_SOCKETS, AdminServer, View
+from reedmount.fronts.board import Board, BoardList
 from reedmount.fronts.call_servers import CallServers
-from reedmount.fronts.handover import Heirs, Word, ask
+from reedmount.fronts.handover import HandoverMessage, SuccessorListener, request_listener
 from reedmount.fronts.platform import Callers
-from reedmount.fronts.server_connection import Terms
-from reedmount.net.connection import Address, text_of
+from reedmount.fronts.server_connection import ConnectionLimits
+from reedmount.net.connection import Address, format_address
 from reedmount.net.loop import Loop
 
 STILL_COMING = timedelta(milliseconds=800)  # after SIGTERM, connections and requests come for a while
@@ -29,8 +29,8 @@
 LOOK_AGAIN = timedelta(milliseconds=200)
 LOOK_BEFORE_KILL = timedelta(milliseconds=10)
 OWN_SOCKETS = 16  # for all but callers, call servers and the door
-HEIR_SOCKETS = 24  # that a successor holds before it is ready
-LANE_SOCKETS = 48  # to call servers; of few descriptors a quarter
+SUCCESSOR_SOCKETS = 24  # that a successor holds before it is ready
+SERVER_SOCKETS = 48  # to call servers; of few descriptors a quarter
 
 
 class Node:
@@ -40,9 +40,9 @@
         self._loop = loop
         self.switch = Switch(loop, settings, seed)
         self._callers: Callers | None = None
-        self.door: Door | None = None
+        self.admin_server: AdminServer | None = None
         self._lifecycle = self.switch.lifecycle
-        self._took = self._heirs_open = False
+        self._took = self._successors_open = False
         self._reread: Callable[[], None] = lambda: None
         self._handed: list[Callable[[bool], None]] = []
         self.where = ""
@@ -53,37 +53,37 @@
         """The platform's thin front and its notice board."""
         config = read()
         made = cls(loop, config.settings, config.seed)
-        lanes = min(LANE_SOCKETS, config.sockets // 4)
-        terms = Terms(config.connect_wait, config.idle_wait, config.sockets // 2)
-        servers = CallServers(loop, made.switch, terms, lanes)
+        lanes = min(SERVER_SOCKETS, config.sockets // 4)
+        limits = ConnectionLimits(config.connect_wait, config.idle_wait, config.sockets // 2)
+        servers = CallServers(loop, made.switch, limits, lanes)
         made.switch.attach(servers)
-        pool = Pool(made.switch)
-        found = ask(config.handover, config.listen) if config.handover is not None else None
+        pool = BoardList(made.switch)
+        found = request_listener(config.handover, config.listen) if config.handover is not None else None
         if found is not None:
-            made._lifecycle.also(Need.NEWS)  # until now another process heard of it
+            made._lifecycle.require(Need.LIST_UPDATE)  # until now another process heard of it
         pool.start(config.known_last, config.known)
         given, predecessor = found or (None, None)
         callers = made._callers = Callers(
             loop, made.switch, config.listen, room_for_callers(config), given, config.sockets
         )
-        servers.is_untold = callers.is_untold
+        servers.has_untold_release = callers.has_untold_release
         made.on_end(lambda: made._schedule_end(servers))
         if predecessor is not None:
             made._succeed(callers, predecessor)
-        made.open_door(config.control)
-        made.where = f"{config.name} serves at {text_of(callers.address)}"
-        news = (lambda: made._lifecycle.met(Need.NEWS)) if found is not None else None
+        made.open_admin_server(config.control)
+        made.where = f"{config.name} serves at {format_address(callers.address)}"
+        news = (lambda: made._lifecycle.satisfy(Need.LIST_UPDATE)) if found is not None else None
         board = Board(loop, config.board, pool, news)
         if config.handover is not None:
-            made._wait_for_heir(callers, config.handover)
+            made._wait_for_successor(callers, config.handover)
 
         def reread() -> None:
             nonlocal config
             old, config = config, read().follows(config)
             made.settle(config.settings)
-            terms.connect_wait, terms.idle_wait = config.connect_wait, config.idle_wait
-            terms.most = config.sockets // 2
-            callers.most, callers.descriptors = room_for_callers(config), config.sockets
+            limits.connect_wait, limits.idle_wait = config.connect_wait, config.idle_wait
+            limits.max_connections = config.sockets // 2
+            callers.max_connections, callers.descriptors = room_for_callers(config), config.sockets
             pool.take(config.known_last, config.known)
             if config.board != old.board:
                 board.move(config.board)
@@ -96,44 +96,44 @@
     def _succeed(self, callers: Callers, predecessor: socket.socket) -> None:
         """Take the clients of another process once this one is ready, and tell it so."""
         log("a predecessor has given its listener")
-        callers.twin.join(predecessor)
+        callers.handover_peer.join(predecessor)
 
         def ready() -> None:
             if self._lifecycle.ready and not self._took:
                 self._took = True
                 callers.listener.start()
-                callers.twin.tell("ready")
+                callers.handover_peer.tell("ready")
 
         self._lifecycle.on_change(ready)
-        self._loop.after(NEWS_WAIT, lambda: self._lifecycle.met(Need.NEWS))
+        self._loop.call_later(NEWS_WAIT, lambda: self._lifecycle.satisfy(Need.LIST_UPDATE))
 
-    def _wait_for_heir(self, callers: Callers, folder: Path) -> None:
+    def _wait_for_successor(self, callers: Callers, folder: Path) -> None:
         """Give the listener to a successor that asks for it, and the clients once it is ready."""
 
-        def joined(heir: socket.socket) -> None:
-            callers.reserve = HEIR_SOCKETS
-            callers.twin.join(heir)
+        def joined(successor: socket.socket) -> None:
+            callers.reserve = SUCCESSOR_SOCKETS
+            callers.handover_peer.join(successor)
 
         def lost() -> None:
             log("the other process is gone")
             taken = self._lifecycle.superseded and self._lifecycle.phase is not Phase.ENDING
             callers.take_back()
             if taken:
-                heirs.open()
+                successors.open()
                 self._hand(False)
 
-        def hand_over(_: Word) -> None:
+        def hand_over(_: HandoverMessage) -> None:
             callers.hand_over()
             self._hand(True)
 
-        heirs = Heirs(self._loop, folder, callers.listener.sock, joined)
-        callers.twin.on("ready", hand_over)
-        callers.twin.on_lost = lost
+        successors = SuccessorListener(self._loop, folder, callers.listener.sock, joined)
+        callers.handover_peer.on("ready", hand_over)
+        callers.handover_peer.on_lost = lost
 
         def when_ready() -> None:
-            if self._lifecycle.ready and not self._heirs_open:
-                self._heirs_open = True
-                heirs.open()
+            if self._lifecycle.ready and not self._successors_open:
+                self._successors_open = True
+                successors.open()
 
         self._lifecycle.on_change(when_ready)
         when_ready()
@@ -153,23 +153,25 @@
 
     def _schedule_end(self, servers: CallServers) -> None:
         """What was taken before the end began may be owed an answer later than there is time for."""
-        departure = self._lifecycle.departure
-        if departure is None:
+        shutdown = self._lifecycle.shutdown
+        if shutdown is None:
             return
-        self._loop.at(departure.answer_by, self.switch.answer_all)
-        if departure.test_at is not None and departure.close_at is not None:
-            self._loop.at(departure.test_at, servers.test_holders)
-            self._loop.at(departure.close_at, servers.lose_unheard)
+        self._loop.call_at(shutdown.answer_by, self.switch.answer_all_pending)
+        if shutdown.probe_at is not None and shutdown.close_at is not None:
+            self._loop.call_at(shutdown.probe_at, servers.probe_servers)
+            self._loop.call_at(shutdown.close_at, servers.drop_silent_servers)
 
     def _hand(self, to_another: bool) -> None:
         for tell in self._handed:
             tell(to_another)
 
-    def open_door(self, address: Address | None, views: Mapping[str, View] | None = None) -> None:
+    def open_admin_server(self, address: Address | None, views: Mapping[str, View] | None = None) -> None:
         """Listen for operators, where the configuration says so."""
         if address is not None:
-            self.door = Door(self._loop, address, self._lifecycle, lambda: self.switch.figures, views)
-            log(f"the door is at {text_of(self.door.address)}")
+            self.admin_server = AdminServer(
+                self._loop, address, self._lifecycle, lambda: self.switch.call_counts, views
+            )
+            log(f"the door is at {format_address(self.admin_server.address)}")
 
     def on_reload(self, reread: Callable[[], None]) -> None:
         """What SIGHUP does: it raises ConfigError and leaves all as it was, or takes the whole."""
@@ -178,7 +180,7 @@
     def settle(self, settings: i.Settings) -> None:
         """Go by other settings of the module, where they are others."""
         if settings != self.switch.settings:
-            self.switch.settle(settings)
+            self.switch.apply_settings(settings)
 
     def reload(self) -> None:
         """Read the configuration again; it is taken whole, or one line says what is wrong with it."""
@@ -201,7 +203,7 @@
         elif self._lifecycle.phase is not Phase.ENDING:
             log("stopping: answering what still comes")
             self._lifecycle.end(self._kill_after())
-            self._loop.after(STILL_COMING, self._end_when_done)
+            self._loop.call_later(STILL_COMING, self._end_when_done)
 
     def _kill_after(self) -> timedelta | None:
         """How long after SIGTERM it may be killed; None for SIP, or where another process has clients."""
@@ -213,24 +215,24 @@
         if self._done():
             self._loop.stopped = True
         else:
-            departure = self._lifecycle.departure
-            killed = departure is not None and departure.kill_at is not None
-            self._loop.after(LOOK_BEFORE_KILL if killed else LOOK_AGAIN, self._end_when_done)
+            shutdown = self._lifecycle.shutdown
+            killed = shutdown is not None and shutdown.kill_at is not None
+            self._loop.call_later(LOOK_BEFORE_KILL if killed else LOOK_AGAIN, self._end_when_done)
 
     def _done(self) -> bool:
         """Whether nothing is left to do, or no time to do it."""
-        departure = self._lifecycle.departure
-        if departure is not None and departure.over(self._loop.clock.now()):
+        shutdown = self._lifecycle.shutdown
+        if shutdown is not None and shutdown.is_past_deadline(self._loop.clock.now()):
             return True
         if self._callers is None:
-            return self.switch.quiet
-        if departure is None or departure.kill_at is None:
-            return self.switch.quiet and self._callers.quiet
-        left = self.switch.unanswered or not self._callers.gone
-        return not left and (self.switch.quiet or departure.closes_all(self._loop.clock.now()))
+            return self.switch.is_idle
+        if shutdown is None or shutdown.kill_at is None:
+            return self.switch.is_idle and self._callers.is_idle
+        left = self.switch.unanswered or not self._callers.all_clients_gone
+        return not left and (self.switch.is_idle or shutdown.closes_all_connections(self._loop.clock.now()))
 
 
 def room_for_callers(config: Platform) -> int:
     """How many connections callers may have."""
-    lanes = min(LANE_SOCKETS, config.sockets // 4)
-    return config.sockets - OWN_SOCKETS - lanes - (DOOR_SOCKETS if config.control is not None else 0)
+    lanes = min(SERVER_SOCKETS, config.sockets // 4)
+    return config.sockets - OWN_SOCKETS - lanes - (ADMIN_SOCKETS if config.control is not None else 0)
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -18,26 +18,25 @@
 from reedmount.core.switch import Switch
 from reedmount.dns.server import UpdateServer
 from reedmount.dns.update import Master
-from reedmount.dns.zone import ZoneError, load
+from reedmount.dns.zone import ZoneError, load_zone
 from reedmount.fronts.admin import View
-from reedmount.fronts.board import Board
-from reedmount.fronts.board import Pool as BoardList
+from reedmount.fronts.board import Board, BoardList
 from reedmount.fronts.sip import SipFront
 from reedmount.fronts.sip_servers import SipServers
-from reedmount.net.connection import Address, text_of
+from reedmount.net.connection import Address, format_address
 from reedmount.net.loop import Loop
 from reedmount.node import Node
-from reedmount.operator_file import Operator
-from reedmount.sources.lists import BOARD, FIXED, ZONE, BoardSource, ZoneSource, tell_fixed
+from reedmount.operator_file import OperatorConfig
+from reedmount.sources.lists import BOARD, FIXED, ZONE, BoardSource, ZoneSource, publish_fixed
 from reedmount.sources.pool_host import PoolHost
 from reedmount.sources.srv import NAME as SRV
 from reedmount.sources.srv import SrvSource
 
 if TYPE_CHECKING:
-    from reedmount.peers.membership import Peers
-    from reedmount.peers.replication import CopiesHost
-    from reedmount.records.call_records import Keeper
-    from reedmount.sources.member_reports import HearsayHost
+    from reedmount.peers.membership import Membership
+    from reedmount.peers.replication import Replication
+    from reedmount.records.call_records import CallRecords
+    from reedmount.sources.member_reports import MemberReports
     from reedmount.store.disk import Disk
     from reedmount.store.log import Log
     from reedmount.store.writer import Writer
@@ -49,9 +48,9 @@
 class Sources:
     """All that tells of call servers, as the file has it now."""
 
-    def __init__(self, loop: Loop, switch: Switch, config: Operator, seed: int) -> None:
+    def __init__(self, loop: Loop, switch: Switch, config: OperatorConfig, seed: int) -> None:
         self._loop, self._config = loop, config
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self.host = PoolHost(loop, switch, config.pool, SOURCES)
         self._master: Master | None = None
         self._zone: ZoneSource | None = None
@@ -59,22 +58,22 @@
         self._board: Board | None = None
         self.updates: UpdateServer | None = None
         if config.fixed:
-            tell_fixed(self.host, config.fixed)
+            publish_fixed(self.host, config.fixed)
         if config.zone is not None:
-            self._open_zone(config, load(config.zone, config.origin))
+            self._open_zone(config, load_zone(config.zone, config.origin))
         if config.board is not None:
             self._open_board(config.board)
         if config.srv is not None:
             self._open_srv(config)
 
-    def settle(self, config: Operator) -> None:
+    def settle(self, config: OperatorConfig) -> None:
         """The file has been read again. All of it is checked by now; the zone's file is read first."""
-        records = load(config.zone, config.origin) if config.zone is not None else None
+        records = load_zone(config.zone, config.origin) if config.zone is not None else None
         old, self._config = self._config, config
         if config.pool != old.pool:
-            self.host.settle(config.pool)
+            self.host.apply_settings(config.pool)
         if config.fixed:
-            tell_fixed(self.host, config.fixed)
+            publish_fixed(self.host, config.fixed)
         else:
             self.host.drop(FIXED)
         self._settle_zone(config, records)
@@ -83,7 +82,7 @@
         if self._srv is None and config.srv is not None:
             self._open_srv(config)
         elif self._srv is not None and config.srv is not None:
-            self._srv.settle(config.srv)
+            self._srv.apply_settings(config.srv)
         elif self._srv is not None:
             self._srv.close()
             self._srv = None
@@ -92,7 +91,7 @@
 
     # --- the sources ---
 
-    def _open_zone(self, config: Operator, zone: dns.zone.Zone) -> None:
+    def _open_zone(self, config: OperatorConfig, zone: dns.zone.Zone) -> None:
         self._zone = ZoneSource(
             self.host, zone, config.transports, config.zone if config.write_back else None
         )
@@ -101,7 +100,7 @@
             self._master = Master(zone, config.updates.policy, self._zone.changed)
             self.updates = UpdateServer(self._loop, config.updates.listen, self._master)
 
-    def _settle_zone(self, config: Operator, zone: dns.zone.Zone | None) -> None:
+    def _settle_zone(self, config: OperatorConfig, zone: dns.zone.Zone | None) -> None:
         if zone is None:
             self.host.drop(ZONE)
             self._zone = None
@@ -129,13 +128,13 @@
         else:
             self._board.move(address)
 
-    def _open_srv(self, config: Operator) -> None:
+    def _open_srv(self, config: OperatorConfig) -> None:
         if config.srv is not None:
-            self._srv = SrvSource(self._loop, self.host, config.srv, self._chance)
+            self._srv = SrvSource(self._loop, self.host, config.srv, self._rng)
             self._srv.start()
 
 
-def serve_sip(loop: Loop, read: Callable[[], Operator]) -> Node:
+def serve_sip(loop: Loop, read: Callable[[], OperatorConfig]) -> Node:
     """Build it. Raises ConfigError, which names the key or the zone's line, and OSError of a listener."""
     config = read()
     seed = int.from_bytes(os.urandom(8), "big")
@@ -147,23 +146,23 @@
     except ZoneError as error:
         raise ConfigError(str(error)) from None
     front.first_choice = sources.host.first_choice
-    peers = _open_peers(loop, made, config)
-    if peers is not None:
-        peers.on_change(lambda _: made.settle(_shared(config.settings, peers)))
-    copies = _open_copies(loop, made, front, peers, config)
-    hearsay = _open_hearsay(sources.host, peers, config)
+    membership = _open_peers(loop, made, config)
+    if membership is not None:
+        membership.on_change(lambda _: made.settle(_shared(config.settings, membership)))
+    copies = _open_copies(loop, made, front, membership, config)
+    hearsay = _open_hearsay(sources.host, membership, config)
     views: dict[str, View] = {POOL: lambda query: sources.host.view(_after(query))}
-    if peers is not None:
+    if membership is not None:
         views[MEMBERS] = lambda query: {
-            **peers.view(query), "shared_among": made.switch.settings.proxies,
+            **membership.view(query), "shared_among": made.switch.settings.instances,
             "call_servers": None if hearsay is None else hearsay.view(),
         }  # fmt: skip
     if copies is not None:
         held, keeper = copies
         views[COPIES], views[RECORDS] = lambda _: held.view(), keeper.view
-    made.open_door(config.control, views)
-    made.where = f"SIP served at {text_of(front.endpoint.address)}, call servers from {_named(config)}"
-    made.parts = (front, sources, peers, hearsay, copies)
+    made.open_admin_server(config.control, views)
+    made.where = f"SIP served at {format_address(front.endpoint.address)}, call servers from {_named(config)}"
+    made.parts = (front, sources, membership, hearsay, copies)
 
     def reread() -> None:
         nonlocal config
@@ -173,7 +172,7 @@
         except ZoneError as error:
             raise ConfigError(str(error)) from None
         old, config = config, fresh
-        made.settle(_shared(config.settings, peers))
+        made.settle(_shared(config.settings, membership))
         front.settings = config.sip
         places = [
             (item.sip.listen, item.sip.listen6, item.sip.timers,
@@ -189,30 +188,32 @@
     return made
 
 
-def _open_peers(loop: Loop, node: Node, config: Operator) -> Peers | None:
+def _open_peers(loop: Loop, node: Node, config: OperatorConfig) -> Membership | None:
     """Be a member of the group, where the file names one; at our end say so: nobody has to find out."""
     if config.members is None:
         return None
-    from reedmount.peers.membership import Peers
+    from reedmount.peers.membership import Membership
 
-    peers = Peers(loop, config.members)
-    log(f"member {config.members.name} of {config.members.group} at {text_of(peers.address)}")
-    node.on_end(peers.leave)
+    membership = Membership(loop, config.members)
+    log(f"member {config.members.name} of {config.members.group} at {format_address(membership.address)}")
+    node.on_end(membership.leave)
     if config.members.srv is not None:
-        from reedmount.peers.seed_discovery import WaysIn
+        from reedmount.peers.seed_discovery import SeedDiscovery
 
-        peers.ways = WaysIn(loop, peers, config.members.srv, random.Random(os.urandom(8)))
-    return peers
+        membership.seed_discovery = SeedDiscovery(
+            loop, membership, config.members.srv, random.Random(os.urandom(8))
+        )
+    return membership
 
 
 def _open_copies(
-    loop: Loop, node: Node, front: SipFront, peers: Peers | None, config: Operator
-) -> tuple[CopiesHost, Keeper] | None:
+    loop: Loop, node: Node, front: SipFront, membership: Membership | None, config: OperatorConfig
+) -> tuple[Replication, CallRecords] | None:
     """Hold what is promised of calls for others, and others' for them, where the file says so."""
-    if peers is None or config.members is None or config.replicas is None:
+    if membership is None or config.members is None or config.replicas is None:
         return None
-    from reedmount.peers.replication import CopiesHost
-    from reedmount.records.call_records import Keeper
+    from reedmount.peers.replication import Replication
+    from reedmount.records.call_records import CallRecords
     from reedmount.store.faulty import disk_of
     from reedmount.store.frame import StoreError
     from reedmount.store.log import Log
@@ -229,10 +230,10 @@
             raise ConfigError(f"replicas.folder: {error}") from None
         log(f"the store has {len(store)} records; gaps {len(opened.gaps)}, torn {opened.torn} bytes")
         make = partial(_writer, loop, store, disk, wanted.sync)
-    copies = CopiesHost(
-        loop, peers, members.name, members.group, members.listen, wanted.faults, store, make, wanted.wait
+    replication = Replication(
+        loop, membership, members.name, members.group, members.listen, wanted.faults, store, make, wanted.wait
     )
-    return copies, Keeper(loop, node.switch, front, copies, members.name, wanted.keep_for)
+    return replication, CallRecords(loop, node.switch, front, replication, members.name, wanted.keep_for)
 
 
 def _writer(
@@ -244,30 +245,35 @@
     return Writer(loop, store, disk, sync, durable, trouble)
 
 
-def _open_hearsay(host: PoolHost, peers: Peers | None, config: Operator) -> HearsayHost | None:
+def _open_hearsay(
+    host: PoolHost, membership: Membership | None, config: OperatorConfig
+) -> MemberReports | None:
     """Tell others what our sources say of call servers; be careful with those that others saw leave."""
-    if peers is None or config.members is None or not config.members.hearsay:
+    if membership is None or config.members is None or not config.members.max_report_hold:
         return None
-    from reedmount.sources.member_reports import HearsayHost
+    from reedmount.sources.member_reports import MemberReports
 
     cold = span(config.settings.cold_us)
-    return HearsayHost(host, peers, config.members.name, cold, config.members.hearsay)
+    return MemberReports(host, membership, config.members.name, cold, config.members.max_report_hold)
 
 
-def _shared(settings: i.Settings, peers: Peers | None) -> i.Settings:
+def _shared(settings: i.Settings, membership: Membership | None) -> i.Settings:
     """Settings that share the call servers among as many as the view has, where it is sure."""
-    if peers is None:
+    if membership is None:
         return settings
-    from reedmount.members.capacity_sharing import sharers
+    from reedmount.members.capacity_sharing import sharing_instances
 
-    return replace(settings, proxies=sharers(settings.proxies, peers.alive, peers.standing.may_decide))
+    return replace(
+        settings,
+        instances=sharing_instances(settings.instances, membership.alive, membership.standing.has_quorum),
+    )
 
 
-def _named(config: Operator) -> str:
+def _named(config: OperatorConfig) -> str:
     """The sources, for the line at the start."""
     parts = []
     if config.board is not None:
-        parts.append(f"the list at {text_of(config.board)}")
+        parts.append(f"the list at {format_address(config.board)}")
     if config.fixed:
         parts.append(f"{len(config.fixed)} in the file")
     if config.zone is not None:
--- a/reedmount/operator_file.py
+++ b/reedmount/operator_file.py
@@ -24,7 +24,7 @@
 from reedmount.net.connection import Address
 from reedmount.pool.bands import BandSettings
 from reedmount.pool.claims import Claim
-from reedmount.pool.pool import Past
+from reedmount.pool.pool import ExpiryPolicy
 from reedmount.sip.transaction import Timers
 from reedmount.sources.pool_host import PoolSettings
 from reedmount.sources.srv import SrvSettings
@@ -32,7 +32,7 @@
 from reedmount.tables import Table, numeric
 
 if TYPE_CHECKING:
-    from reedmount.peers.settings import PeerSettings
+    from reedmount.peers.settings import MembershipSettings
     from reedmount.records.settings import ReplicaSettings
 
 WAY_BACK = "sip.listen6: call servers have to find their way back"
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """All that an operator's file says."""
 
     sip: SipSettings
@@ -62,11 +62,11 @@
     board: Address | None
     fixed: tuple[Claim, ...]
     srv: SrvSettings | None
-    members: PeerSettings | None
+    members: MembershipSettings | None
     replicas: ReplicaSettings | None
 
 
-def read_operator(path: Path) -> Operator:
+def read_operator(path: Path) -> OperatorConfig:
     """Read and check an operator's file."""
     try:
         with path.open("rb") as file:
@@ -100,7 +100,7 @@
     if not transports or any(item not in TRANSPORTS for item in transports):
         raise ConfigError(f"dns.transports: of {TRANSPORTS} wanted, not {transports!r}")
     updates, door = dns_table.table("update"), top.table("door")
-    made = Operator(
+    made = OperatorConfig(
         sip=sip_settings,
         zone=path.parent / dns_table.get("zone", str) if top.has("dns") else None,
         origin=dns_table.get("origin", str, "") or None,
@@ -123,7 +123,7 @@
     return made
 
 
-def _members(table: Table) -> PeerSettings:
+def _members(table: Table) -> MembershipSettings:
     """Read by the part itself, whose libraries are imported only where the table is there."""
     try:
         from reedmount.peers.reader import read_members
@@ -132,35 +132,37 @@
     return read_members(table)
 
 
-def _replicas(table: Table, base: Path, group: PeerSettings | None) -> ReplicaSettings:
+def _replicas(table: Table, base: Path, group: MembershipSettings | None) -> ReplicaSettings:
     if group is None:
         raise ConfigError(f"{table.path}: there is no [members]")
     try:
         from reedmount.records.settings import read_replicas
     except ImportError as error:
         raise ConfigError(f"{table.path}: needs what requirements-fleet.txt names: {error}") from None
-    return read_replicas(table, base, len(group.rosters[0].names))
+    return read_replicas(table, base, len(group.voter_sets[0].names))
 
 
 def _pool(table: Table) -> PoolSettings:
     try:
-        past = Past(table.get("past_bound", str, Past.DRAIN.value))
+        expiry_policy = ExpiryPolicy(table.get("past_bound", str, ExpiryPolicy.DRAIN.value))
     except ValueError:
-        raise ConfigError(f"{table.path}.past_bound: of {[item.value for item in Past]} wanted") from None
+        raise ConfigError(
+            f"{table.path}.past_bound: of {[item.value for item in ExpiryPolicy]} wanted"
+        ) from None
     transport = table.get("transport", str, "tcp")
     if transport not in TRANSPORTS:
         raise ConfigError(f"{table.path}.transport: of {TRANSPORTS} wanted, not {transport!r}")
     return PoolSettings(
-        past=past,
+        expiry_policy=expiry_policy,
         transport=transport,
-        start_for=table.seconds("start_s", 10.0, 0.0, 3600.0),
-        gone_for=table.seconds("gone_s", 600.0, 1.0, 86_400.0),
-        unranked=(table.amount("priority", int, 0, 0, 65535), table.amount("weight", int, 1, 0, 65535)),
+        startup_window=table.seconds("start_s", 10.0, 0.0, 3600.0),
+        forget_after=table.seconds("gone_s", 600.0, 1.0, 86_400.0),
+        default_rank=(table.amount("priority", int, 0, 0, 65535), table.amount("weight", int, 1, 0, 65535)),
         bands=BandSettings(
-            press=table.span("press_ms", 50, 5, 10_000),
-            step=table.span("step_ms", 200, 5, 60_000),
-            close=table.seconds("close_s", 10.0, 0.1, 3600.0),
-            down=table.seconds("down_s", 5.0, 0.1, 3600.0),
+            pressure_time=table.span("press_ms", 50, 5, 10_000),
+            step_time=table.span("step_ms", 200, 5, 60_000),
+            close_time=table.seconds("close_s", 10.0, 0.1, 3600.0),
+            down_time=table.seconds("down_s", 5.0, 0.1, 3600.0),
         ),
     )
 
@@ -186,7 +188,7 @@
                 name=name,
                 worth=table.amount("worth", float, 1.0, 0.0, 1e6),
                 late_share=table.amount("late_share", float, 0.25, 0.0, 1.0),
-                aim_us=span_micros(table.span("aim_ms", None)),
+                target_us=span_micros(table.span("aim_ms", None)),
                 give_up_us=span_micros(table.span("give_up_ms", None)),
                 effect=i.Effect.REPEATABLE,
                 servers=None,
@@ -201,7 +203,7 @@
 
 def _module(table: Table, classes: tuple[i.CallClass, ...]) -> i.Settings:
     return i.Settings(
-        proxies=table.amount("controllers", int, 1, 1, 10_000),
+        instances=table.amount("controllers", int, 1, 1, 10_000),
         classes=classes,
         tenants=(),
         over_quota_share=1.0,
--- a/reedmount/peers/member_handover.py
+++ b/reedmount/peers/member_handover.py
@@ -8,13 +8,13 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS, log
 from reedmount.net.loop import Loop
-from reedmount.peers.membership import Peers
-from reedmount.peers.settings import PeerSettings
+from reedmount.peers.membership import Membership
+from reedmount.peers.settings import MembershipSettings
 
 TRY_AGAIN = timedelta(milliseconds=100)  # an address that another process has: below a probe's own period
 
 
-class Seat:
+class MemberHandover:
     """One member, in whichever process has its address now. A process without it serves calls all the same.
 
     Two processes that read one address would each get some of the answers and none all of them, so one at a
@@ -24,10 +24,10 @@
     of the same member, which needs no other member to agree.
     """
 
-    def __init__(self, loop: Loop, settings: PeerSettings) -> None:
+    def __init__(self, loop: Loop, settings: MembershipSettings) -> None:
         """Raises OSError where the address can never be had; one that is in use is waited for."""
         self._loop, self._settings = loop, settings
-        self.peers: Peers | None = None
+        self.membership: Membership | None = None
         self._wanted = True
         self._timer: Timer | None = None
         self._open()
@@ -42,8 +42,8 @@
 
     def leave(self) -> None:
         """We end, and nobody has our place: say so, and let go of it."""
-        if self.peers is not None:
-            self.peers.leave()
+        if self.membership is not None:
+            self.membership.leave()
         self._close()
 
     def _close(self) -> None:
@@ -51,19 +51,19 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self.peers is not None:
-            self.peers.close()
-            self.peers = None
+        if self.membership is not None:
+            self.membership.close()
+            self.membership = None
             COUNTERS.add("members.seat.let_go")
 
     def _open(self) -> None:
         try:
-            self.peers = Peers(self._loop, self._settings)
+            self.membership = Membership(self._loop, self._settings)
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
             COUNTERS.add("members.seat.waits")
-            self._timer = self._loop.after(TRY_AGAIN, self._try)
+            self._timer = self._loop.call_later(TRY_AGAIN, self._try)
         else:
             COUNTERS.add("members.seat.taken")
             log(f"member {self._settings.name}: the address among the members is ours", "seat")
@@ -76,4 +76,4 @@
             self._open()
         except OSError as error:  # it was there before: no reason to end what serves calls
             log(f"member {self._settings.name}: {error}", "seat.failed")
-            self._timer = self._loop.after(TRY_AGAIN, self._try)
+            self._timer = self._loop.call_later(TRY_AGAIN, self._try)
--- a/reedmount/peers/membership.py
+++ b/reedmount/peers/membership.py
@@ -19,29 +19,29 @@
 from reedmount.members.quorum import Standing
 from reedmount.members.record import Record
 from reedmount.members.view import Change
-from reedmount.members.wire import DATAGRAM_MOST
-from reedmount.net.connection import Address, family_of, text_of
+from reedmount.members.wire import MAX_DATAGRAM
+from reedmount.net.connection import Address, address_family, format_address
 from reedmount.net.loop import READ, Loop
-from reedmount.peers.settings import PeerSettings
+from reedmount.peers.settings import MembershipSettings
 
-TURN_MOST = 64  # datagrams read in one turn of the loop
-HELD_MOST = 512  # that are read and not looked at yet; what comes beyond that is lost, as on the net
+MAX_TURN = 64  # datagrams read in one turn of the loop
+MAX_HELD = 512  # that are read and not looked at yet; what comes beyond that is lost, as on the net
 SOON = timedelta(milliseconds=20)  # so long they and what is due may wait for calls
 PAGE = 256  # members in one answer at the door
 Hear = Callable[[Change | Stood], None]
 
 
-class Peers:
+class Membership:
     """One member. Sockets and timers; what to say, and to whom, is decided in ``members/``.
 
     Raises OSError where the address cannot be had. A datagram that cannot be sent is counted and lost, as
     on the net: the protocol lives with that.
     """
 
-    def __init__(self, loop: Loop, settings: PeerSettings) -> None:
+    def __init__(self, loop: Loop, settings: MembershipSettings) -> None:
         self._loop, self._settings = loop, settings
-        self._life = int.from_bytes(os.urandom(4), "big")
-        self._sock = socket.socket(family_of(settings.listen), socket.SOCK_DGRAM)
+        self._boot_id = int.from_bytes(os.urandom(4), "big")
+        self._sock = socket.socket(address_family(settings.listen), socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         try:
             self._sock.bind(settings.listen)
@@ -50,15 +50,15 @@
             raise
         seed = int.from_bytes(os.urandom(8), "big")
         self.protocol = Protocol(
-            settings.timing, settings.group, settings.me(self._life), settings.rosters,
-            settings.ways_in, seed, settings.guests,
+            settings.timing, settings.group, settings.me(self._boot_id), settings.voter_sets,
+            settings.seed_addresses, seed, settings.nonvoters,
         )  # fmt: skip
         self._held: deque[tuple[Address, bytes]] = deque()
         self._looking = self._closed = False
         self._told: list[Hear] = []
         self._of_servers: list[Callable[[Told], None]] = []
         self._number = 0  # of what was told at ``tell``: a reader sees what was lost
-        self.ways: object = None  # what looks for ways in, as long as we are there
+        self.seed_discovery: object = None  # what looks for ways in, as long as we are there
         self._timer: Timer | None = None
         self._timer_at: datetime | None = None
         loop.watch(self._sock.fileno(), READ, self._ready)
@@ -115,11 +115,11 @@
         table, after = self.protocol.view, query.get("after", "")
         names = sorted(record.name for record in table if record.name > after)
         page = [record for name in names[:PAGE] if (record := table.get(name)) is not None]
-        roster = self.protocol.count.current
+        voters = self.protocol.count.current
         return {
             "name": self._settings.name,
             "standing": self.standing.value,
-            "roster": {"version": roster.version, "members": len(roster.names), "majority": roster.majority},
+            "roster": {"version": voters.version, "members": len(voters.names), "majority": voters.majority},
             "view": {"version": table.version, "digest": f"{table.digest:016x}", "members": len(table)},
             "health": self.protocol.health.score,
             "members": [self._line(record) for record in page],
@@ -130,15 +130,15 @@
 
     def _ready(self, _: int) -> None:
         """Read what has come, which costs little; it is looked at when there is time between calls."""
-        for _n in range(TURN_MOST):
+        for _n in range(MAX_TURN):
             try:
-                data, source = self._sock.recvfrom(DATAGRAM_MOST + 1)
+                data, source = self._sock.recvfrom(MAX_DATAGRAM + 1)
             except BlockingIOError:
                 break
             except OSError:
                 COUNTERS.add("members.socket_errors")  # a port that nobody listens at says so here
                 continue
-            if len(self._held) < HELD_MOST:
+            if len(self._held) < MAX_HELD:
                 self._held.append((source[:2], data))
             else:
                 COUNTERS.add("members.dropped.no_room")
@@ -177,7 +177,7 @@
         if due is not None and (self._timer_at is None or due < self._timer_at):
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer, self._timer_at = self._loop.at(due, self._wake), due
+            self._timer, self._timer_at = self._loop.call_at(due, self._wake), due
 
     def _send(self, send: Send) -> None:
         try:
@@ -199,7 +199,7 @@
         """One change as JSON: a datagram that may be lost, since nothing here may wait for a reader."""
         self._number += 1
         line: dict[str, object] = {
-            "by": self._settings.name, "life": self._life, "n": self._number,
+            "by": self._settings.name, "life": self._boot_id, "n": self._number,
             "at_us": micros(self._loop.clock.now()),
             "view": self.protocol.view.version, "digest": f"{self.protocol.view.digest:016x}",
         }  # fmt: skip
@@ -219,7 +219,7 @@
     def _line(self, record: Record) -> dict[str, object]:
         return {
             "name": record.name, "state": record.state.name.lower(), "incarnation": record.incarnation,
-            "life": record.life, "address": text_of(record.address), "zone": record.zone,
-            "build": f"{record.build:08x}", "roster": record.roster,
+            "life": record.boot_id, "address": format_address(record.address), "zone": record.zone,
+            "build": f"{record.build:08x}", "roster": record.voters_id,
             "damped": self.protocol.damping.damped(record.name),
         }  # fmt: skip
--- a/reedmount/peers/mesh.py
+++ b/reedmount/peers/mesh.py
@@ -14,7 +14,7 @@
 
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import Clock
-from reedmount.net.connection import Address, Connection, End, listen
+from reedmount.net.connection import Address, Connection, EndReason, listen
 from reedmount.net.loop import Loop
 from reedmount.replicas.messages import FRAME, FrameError, Hello, Message, frame, length_of, unframe
 
@@ -24,8 +24,8 @@
 GREET_WAIT = timedelta(seconds=2)  # for the first message of whoever connects
 BEAT_EVERY = timedelta(milliseconds=500)  # where nothing else is said
 SILENT = timedelta(seconds=2)  # a way that brings nothing for so long is as good as cut
-QUEUE_MOST = 32 << 20  # bytes that wait for one member: one that reads so little is parted from
-GREETING_MOST = 64  # connections of which nobody knows yet who is there
+MAX_QUEUE = 32 << 20  # bytes that wait for one member: one that reads so little is parted from
+MAX_GREETING = 64  # connections of which nobody knows yet who is there
 
 
 class Link:
@@ -44,7 +44,7 @@
         data = frame(message)
         self._waiting.append(data)
         self._size += len(data)
-        if self._size > QUEUE_MOST:
+        if self._size > MAX_QUEUE:
             COUNTERS.add("mesh.stuck")
             self.close()
         else:
@@ -186,7 +186,7 @@
         self._on_way(hello.name, True)
 
     def _accepted(self, sock: socket.socket) -> None:
-        if len(self._greeting) >= GREETING_MOST:
+        if len(self._greeting) >= MAX_GREETING:
             COUNTERS.add("mesh.no_room")
             sock.close()
             return
@@ -201,7 +201,7 @@
     def _dial(self, name: str, address: Address) -> None:
         made: list[Link] = []
 
-        def over(_: Connection, end: End) -> None:
+        def over(_: Connection, end: EndReason) -> None:
             COUNTERS.add(f"mesh.{end.name.lower()}")
             self.ended(made[0])
 
@@ -220,7 +220,7 @@
             return
         now = self.clock.now()
         for link in [*self._greeting, *self._links.values()]:
-            since = link.connection.heard_at if link.name else link.began
+            since = link.connection.last_received_at if link.name else link.began
             if now - since > (SILENT if link.name else GREET_WAIT):
                 COUNTERS.add("mesh.silent")
                 link.close()
@@ -231,4 +231,4 @@
             address = self._address_of(name)
             if self.me.name < name and address is not None and now >= self._dial_at.get(name, now):
                 self._dial(name, address)
-        self._loop.after(LOOK_EVERY, self._look)
+        self._loop.call_later(LOOK_EVERY, self._look)
--- a/reedmount/peers/replication.py
+++ b/reedmount/peers/replication.py
@@ -22,7 +22,7 @@
 from reedmount.members.wire import group_of
 from reedmount.net.connection import Address
 from reedmount.net.loop import Loop
-from reedmount.peers.membership import Peers
+from reedmount.peers.membership import Membership
 from reedmount.peers.mesh import Mesh
 from reedmount.replicas.holder import Kept
 from reedmount.replicas.messages import Entry, Hello, Message, Phase, ShardId
@@ -62,13 +62,13 @@
     timer: Timer
 
 
-class CopiesHost:
+class Replication:
     """One member's copies. It owns the state machine, the mesh and, where there is a disk, its writer."""
 
     def __init__(
         self,
         loop: Loop,
-        peers: Peers,
+        membership: Membership,
         name: str,
         group: str,
         address: Address,
@@ -78,10 +78,10 @@
         wait: timedelta = WAIT,
     ) -> None:
         """``store``: opened; ``writer`` makes its writer. Without both a copy is kept in memory alone."""
-        self._loop, self._peers, self._wait = loop, peers, wait
-        roster = peers.protocol.count.current.names
-        life = peers.protocol.me.life
-        self.replicas = Replicas(name, life, roster, faults)
+        self._loop, self._membership, self._wait = loop, membership, wait
+        voters = membership.protocol.count.current.names
+        boot_id = membership.protocol.me.boot_id
+        self.replicas = Replicas(name, boot_id, voters, faults)
         self.user: User | None = None
         self._store = store
         self._writer = None if writer is None else writer(self._on_disk, self._trouble)
@@ -91,9 +91,9 @@
         self._trusted = True  # whether the disk takes what is written
         if store is not None:
             self._restore(store)
-        hello = Hello(name, life, group_of(group))
-        self.mesh = Mesh(loop, hello, address, roster, self._address_of, self._heard, self._way)
-        loop.after(TICK, self._tick)
+        hello = Hello(name, boot_id, group_of(group))
+        self.mesh = Mesh(loop, hello, address, voters, self._address_of, self._heard, self._way)
+        loop.call_later(TICK, self._tick)
 
     # --- for who serves calls ---
 
@@ -109,7 +109,7 @@
             self._wait_for(shard, seq, then)
         if not self._flushing:  # all that comes in this turn goes out together
             self._flushing = True
-            self._loop.soon(self._flush)
+            self._loop.call_soon(self._flush)
         return shard
 
     def close(self) -> None:
@@ -141,17 +141,17 @@
     # --- the view ---
 
     @property
-    def may_decide(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether we are in a majority."""
-        return self._peers.standing.may_decide
+        return self._membership.standing.has_quorum
 
-    def life_of(self, name: str) -> int | None:
+    def boot_id_of(self, name: str) -> int | None:
         """Of a member that is there, as far as we know."""
-        known = self._peers.protocol.view.get(name)
-        return known.life if known is not None and known.there else None
+        known = self._membership.protocol.view.get(name)
+        return known.boot_id if known is not None and known.there else None
 
     def _address_of(self, name: str) -> Address | None:
-        known = self._peers.protocol.view.get(name)
+        known = self._membership.protocol.view.get(name)
         return known.address if known is not None and known.state is not State.LEFT else None
 
     # --- the state machine ---
@@ -172,7 +172,7 @@
             return
         self.replicas.tick(self._loop.clock.now(), self)
         self._carry_out()
-        self._loop.after(TICK, self._tick)
+        self._loop.call_later(TICK, self._tick)
 
     def _flush(self) -> None:
         self._flushing = False
@@ -231,7 +231,7 @@
                 queue.remove(waiting)
                 self._not_promised(waiting)
 
-        waiting = _Waiting(seq, then, self._loop.after(self._wait, too_late))
+        waiting = _Waiting(seq, then, self._loop.call_later(self._wait, too_late))
         self._waiting.setdefault(shard, deque()).append(waiting)
 
     def _look_who_waits(self, shard: ShardId, durable: int) -> None:
@@ -274,7 +274,7 @@
         if kept.entries:
             self._writer.kick()
         else:  # what it waits for may be there already
-            self._loop.soon(partial(self._on_disk, self._store.durable))
+            self._loop.call_soon(partial(self._on_disk, self._store.durable))
 
     def _on_disk(self, durable: int) -> None:
         now = self._loop.clock.now()
@@ -330,13 +330,13 @@
 
 
 def _key(shard: ShardId, call: str) -> bytes:
-    return f"{shard.owner}/{shard.life:08x}/{shard.epoch:x}/{call}".encode()
+    return f"{shard.owner}/{shard.boot_id:08x}/{shard.epoch:x}/{call}".encode()
 
 
 def _shard_of(key: bytes) -> ShardId:
-    owner, life, epoch, _ = key.decode().split("/", 3)
-    return ShardId(owner, int(life, 16), int(epoch, 16))
+    owner, boot_id, epoch, _ = key.decode().split("/", 3)
+    return ShardId(owner, int(boot_id, 16), int(epoch, 16))
 
 
 def _text(shard: ShardId) -> str:
-    return f"{shard.owner}/{shard.life:08x}/{shard.epoch:x}"
+    return f"{shard.owner}/{shard.boot_id:08x}/{shard.epoch:x}"
--- a/reedmount/peers/settings.py
+++ b/reedmount/peers/settings.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from reedmount.members.quorum import Roster
+from reedmount.members.quorum import VoterSet
 from reedmount.members.record import WORD, Record, record_of
 from reedmount.members.settings import Timing
 from reedmount.net.connection import Address
@@ -15,31 +15,33 @@
 if TYPE_CHECKING:  # the platform's members ask no names: they are spared the resolver
     from reedmount.sources.srv import SrvSettings
 
-WAYS_MOST = 64  # addresses to join by
-ROSTER_MOST = 2048  # members that count
+MAX_WAYS = 64  # addresses to join by
+MAX_VOTERS = 2048  # members that count
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSettings:
+class MembershipSettings:
     """The table ``[members]``."""
 
     name: str
     group: str
     listen: Address
     advertise: Address  # where others send to; another one than ``listen`` behind a translation of addresses
-    ways_in: tuple[Address, ...]
-    rosters: tuple[Roster, ...]  # ours, then the one before it
+    seed_addresses: tuple[Address, ...]
+    voter_sets: tuple[VoterSet, ...]  # ours, then the one before it
     zone: str = ""
-    guests: bool = True
+    nonvoters: bool = True
     tell: Address | None = None  # where changes are told as JSON, a datagram each
     timing: Timing = field(default_factory=Timing)
     build: int = 0
     srv: SrvSettings | None = None  # names whose targets are ways in as well
-    hearsay: timedelta = timedelta(seconds=8)  # how long a call server is held back on others' word; 0: never
+    max_report_hold: timedelta = timedelta(
+        seconds=8
+    )  # how long a call server is held back on others' word; 0: never
 
-    def me(self, life: int) -> Record:
+    def me(self, boot_id: int) -> Record:
         """What a process of this life says of itself. Raises ValueError where a field does not fit."""
-        return record_of(self.name, self.advertise, life, self.rosters[0].id, self.zone, self.build)
+        return record_of(self.name, self.advertise, boot_id, self.voter_sets[0].id, self.zone, self.build)
 
 
 def identity(text: str) -> int:
--- a/reedmount/pool/bands.py
+++ b/reedmount/pool/bands.py
@@ -22,10 +22,10 @@
 class BandSettings:
     """When bands open and close."""
 
-    press: timedelta = timedelta(milliseconds=50)  # a call has waited unsent for so long
-    step: timedelta = timedelta(milliseconds=200)  # between two openings by pressure
-    close: timedelta = timedelta(seconds=10)  # unneeded for so long
-    down: timedelta = timedelta(seconds=5)  # so long a member that failed in a row counts as not up
+    pressure_time: timedelta = timedelta(milliseconds=50)  # a call has waited unsent for so long
+    step_time: timedelta = timedelta(milliseconds=200)  # between two openings by pressure
+    close_time: timedelta = timedelta(seconds=10)  # unneeded for so long
+    down_time: timedelta = timedelta(seconds=5)  # so long a member that failed in a row counts as not up
 
 
 @dataclass(slots=True)
@@ -109,7 +109,7 @@
             return
         member.failures += 1
         if member.failures >= FAILURES_DOWN:
-            member.down_until = now + self.settings.down
+            member.down_until = now + self.settings.down_time
             self._down[server] = None
 
     # --- what is decided ---
@@ -117,14 +117,14 @@
     def look(self, now: datetime, waiting: timedelta) -> bool:
         """Open or close; ``waiting`` is the age of the oldest call not sent yet. Whether anything changed."""
         before = self._open
-        pressed = waiting >= self.settings.press
+        pressed = waiting >= self.settings.pressure_time
         if pressed:
             self._pressed_at = now
         while self._open < len(self._order) and not self._any_up(now):
             self._widen(now, "down")
         if pressed and self._open < len(self._order):
             since = self._opened_at
-            if self._open == before and (since is None or now - since >= self.settings.step):
+            if self._open == before and (since is None or now - since >= self.settings.step_time):
                 self._widen(now, "pressed")
         if self._open == before and self._open > 1 and not pressed and self._unneeded(now):
             self._open -= 1
@@ -174,7 +174,7 @@
 
     def _unneeded(self, now: datetime) -> bool:
         """Nothing waited and nothing was sent to the uppermost, and those below it can do without it."""
-        long_ago = now - self.settings.close
+        long_ago = now - self.settings.close_time
         top = self._bands[self._order[self._open - 1]]
         marks = (self._pressed_at, self._opened_at, top.needed_at)
         if any(mark is not None and mark > long_ago for mark in marks):
--- a/reedmount/pool/claims.py
+++ b/reedmount/pool/claims.py
@@ -6,10 +6,10 @@
 from datetime import datetime
 from enum import Enum
 
-Place = tuple[str, int]  # address and port: that is what a call server is, whatever its names
+Endpoint = tuple[str, int]  # address and port: that is what a call server is, whatever its names
 
 
-class Word(Enum):
+class ClaimState(Enum):
     """What one source says of one server, at an instant."""
 
     UNNAMED = "unnamed"
@@ -20,16 +20,16 @@
     GONE = "gone"  # said so, or left out of a complete, good answer
 
 
-LEAVING = frozenset((Word.DRAINING, Word.GONE))
+LEAVING = frozenset((ClaimState.DRAINING, ClaimState.GONE))
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
     """One server as a source names it. ``started`` only where the source knows it: none of DNS does."""
 
-    place: Place
+    endpoint: Endpoint
     name: str
-    word: Word = Word.SERVING  # or DRAINING or GONE; the others are a matter of time
+    state: ClaimState = ClaimState.SERVING  # or DRAINING or GONE; the others are a matter of time
     transport: str | None = None  # None where the source does not say
     started: datetime | None = None
     priority: int | None = None  # RFC 2782: the lower first; None where the source ranks none
@@ -37,5 +37,5 @@
 
     def __post_init__(self) -> None:
         """Ages are the pool's to tell."""
-        if self.word not in (Word.SERVING, Word.DRAINING, Word.GONE):
-            raise ValueError(f"no source can say {self.word.value}")
+        if self.state not in (ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE):
+            raise ValueError(f"no source can say {self.state.value}")
--- a/reedmount/pool/pool.py
+++ b/reedmount/pool/pool.py
@@ -10,20 +10,20 @@
 from typing import NamedTuple
 
 from reedmount.core.checks import COUNTERS, invariant
-from reedmount.net.connection import text_of
-from reedmount.pool.claims import Claim, Place, Word
+from reedmount.net.connection import format_address
+from reedmount.pool.claims import Claim, ClaimState, Endpoint
 from reedmount.pool.rule import OURS, SERVES, Rule, decide
 from reedmount.pool.source import Part, Source
 
-SERVERS_MOST = 4096
-MARKS_MOST = 4096  # of servers that are gone
+MAX_SERVERS = 4096
+MAX_MARKS = 4096  # of servers that are gone
 FIRST_WORD = timedelta(seconds=1)  # a list may come in several pieces
 SLICE = 16  # servers looked at between two looks at the rest of the program
 VOUCHED = (Rule.SERVING, Rule.KEPT, Rule.HEARSAY)
 LEAVING_SLICE = 128  # of those that leave: all 4,096 have to be told within 250 ms
 
 
-class Past(Enum):
+class ExpiryPolicy(Enum):
     """What becomes of servers whose sources are all silent beyond their bound."""
 
     DRAIN = "drain"
@@ -34,7 +34,7 @@
 class Entry:
     """One server as it stands in the pool."""
 
-    place: Place
+    endpoint: Endpoint
     server: str  # its name in the core, the same whichever source names it
     number: int
     name: str
@@ -81,25 +81,25 @@
     """All sources and what follows from them. Instants come in with each event; nothing here waits."""
 
     def __init__(
-        self, now: datetime, sources: Sequence[str], past: Past = Past.DRAIN,
-        start_for: timedelta = timedelta(seconds=10), gone_for: timedelta = timedelta(minutes=10),
-        unranked: tuple[int, int] = (0, 1), transport: str = "tcp",
+        self, now: datetime, sources: Sequence[str], expiry_policy: ExpiryPolicy = ExpiryPolicy.DRAIN,
+        startup_window: timedelta = timedelta(seconds=10), forget_after: timedelta = timedelta(minutes=10),
+        default_rank: tuple[int, int] = (0, 1), transport: str = "tcp",
     ) -> None:  # fmt: skip
         self.sources = {name: Source(name) for name in sources}
-        self.entries: dict[Place, Entry] = {}
-        self.past, self.gone_for = past, gone_for
-        self.unranked, self.transport = unranked, transport  # of servers of which no source says more
-        self._marks: dict[Place, datetime] = {}  # gone, and named by nobody: since when; oldest first
-        self._started_until = now + start_for
-        self._numbers: dict[int, Place] = {}
+        self.entries: dict[Endpoint, Entry] = {}
+        self.expiry_policy, self.forget_after = expiry_policy, forget_after
+        self.default_rank, self.transport = default_rank, transport  # of servers of which no source says more
+        self._marks: dict[Endpoint, datetime] = {}  # gone, and named by nobody: since when; oldest first
+        self._started_until = now + startup_window
+        self._numbers: dict[int, Endpoint] = {}
         self._vouched = 0  # entries that serve by more than a last resort, held back by hearsay or not
-        self._places: dict[str, Place] = {}  # by the servers' names in the core
+        self._places: dict[str, Endpoint] = {}  # by the servers' names in the core
         self._held: Set[str] = frozenset()  # by hearsay
         self._paced: Set[str] = frozenset()  # cold by hearsay
 
     # --- events ---
 
-    def whole(
+    def full_update(
         self,
         now: datetime,
         source: str,
@@ -118,9 +118,9 @@
         held = said.part(part)
         held.answer = word
         first = self._is_first(now, held)
-        gone = said.left_out(part, [claim.place for claim in claims])
-        draining = [claim for claim in claims if claim.word is not Word.SERVING]
-        serving = [claim for claim in claims if claim.word is Word.SERVING]
+        gone = said.left_out(part, [claim.endpoint for claim in claims])
+        draining = [claim for claim in claims if claim.state is not ClaimState.SERVING]
+        serving = [claim for claim in claims if claim.state is ClaimState.SERVING]
         for begin in range(0, len(gone), LEAVING_SLICE):
             changes: list[Change] = []
             for place in gone[begin : begin + LEAVING_SLICE]:
@@ -138,15 +138,17 @@
         self._sweep(now)
         yield Slice(self._past(now), False)
 
-    def news(self, now: datetime, source: str, claims: Sequence[Claim], part: str = "") -> list[Change]:
+    def partial_update(
+        self, now: datetime, source: str, claims: Sequence[Claim], part: str = ""
+    ) -> list[Change]:
         """Word of single servers; of the others nothing is said."""
         said = self.sources[source]
         word = said.heard(now, part, None, None)
         first = self._is_first(now, said.part(part))
-        named = sorted(claims, key=lambda claim: claim.word is Word.SERVING)
+        named = sorted(claims, key=lambda claim: claim.state is ClaimState.SERVING)
         return self._take(now, said, part, named, first, word) + self._past(now)
 
-    def failed(self, source: str, why: str, part: str = "") -> None:
+    def source_failed(self, source: str, why: str, part: str = "") -> None:
         """An answer that did not come or cannot count: nothing changes."""
         self.sources[source].failed(part, why)
 
@@ -180,7 +182,9 @@
         said.parts.pop(part, None)
         return [change for place in touched for change in self._decide(now, place, None)] + self._past(now)
 
-    def hear(self, now: datetime, held: Set[str], starts: Mapping[str, datetime]) -> list[Change]:
+    def apply_member_reports(
+        self, now: datetime, held: Set[str], starts: Mapping[str, datetime]
+    ) -> list[Change]:
         """What other members saw, as far as it counts (members/hearsay.py): whom to hold back, who is cold.
 
         Both as a whole: who is not among them any more is let go. It takes none in, and removes none.
@@ -192,7 +196,7 @@
             entry = self.entries[self._places[server]]
             before = entry.started
             entry.heard = starts.get(server)
-            found = self._decide(now, entry.place, None)
+            found = self._decide(now, entry.endpoint, None)
             changes += found or ([Change(entry)] if entry.started != before else [])
         return changes
 
@@ -204,11 +208,11 @@
         return None if place is None else self.entries.get(place)
 
     @property
-    def vouched(self) -> int:
+    def vouched_count(self) -> int:
         """How many serve by our own sources, and not as a last resort."""
         return self._vouched
 
-    def words(self, now: datetime, place: Place) -> dict[str, Word]:
+    def words(self, now: datetime, place: Endpoint) -> dict[str, ClaimState]:
         """What each source says of a server."""
         return {name: source.word(now, place) for name, source in self.sources.items()}
 
@@ -218,7 +222,7 @@
         return begun < self._started_until and now - begun < FIRST_WORD
 
     def _has_room(self, claim: Claim) -> bool:
-        if claim.place in self.entries or len(self.entries) < SERVERS_MOST:
+        if claim.endpoint in self.entries or len(self.entries) < MAX_SERVERS:
             return True
         COUNTERS.add("pool.no_room")
         return False
@@ -230,20 +234,22 @@
         for claim in claims:
             if not self._has_room(claim):
                 continue
-            if claim.place in self._marks:
+            if claim.endpoint in self._marks:
                 self._reconsider(now, claim)
             said.say(now, part, claim, word)
-            changes += self._decide(now, claim.place, claim, first)
+            changes += self._decide(now, claim.endpoint, claim, first)
         self._sweep(now)
         return changes
 
     def _reconsider(self, now: datetime, claim: Claim) -> None:
         """A server that all had given up is named: a process started since then is another one."""
-        since = self._marks[claim.place]
-        if claim.started is not None and claim.started > since or now - since > self.gone_for:
-            self._unmark(claim.place)
+        since = self._marks[claim.endpoint]
+        if claim.started is not None and claim.started > since or now - since > self.forget_after:
+            self._unmark(claim.endpoint)
 
-    def _decide(self, now: datetime, place: Place, claim: Claim | None, first: bool = False) -> list[Change]:
+    def _decide(
+        self, now: datetime, place: Endpoint, claim: Claim | None, first: bool = False
+    ) -> list[Change]:
         """Apply the rule to one server, and say what has changed.
 
         A server that comes in or comes back counts as started now, unless the claim that brings it says
@@ -254,9 +260,9 @@
         if rule is Rule.UNNAMED or rule is Rule.GONE and not self._named(now, place):
             return self._remove(place, rule, now)
         naming = self._naming(place)
-        if rule is Rule.EXPIRED and self.past is Past.LAST_RESORT:
+        if rule is Rule.EXPIRED and self.expiry_policy is ExpiryPolicy.LAST_RESORT:
             rule = self._past_rule()
-        if rule in SERVES and text_of(place) in self._held:
+        if rule in SERVES and format_address(place) in self._held:
             rule = Rule.HEARSAY
         if entry is None:
             if naming is None:
@@ -269,7 +275,7 @@
             entry.name, entry.transport = naming.name, self._transport(place)
             entry.priority, entry.weight = self._rank(place)
         self._set(entry, rule, now)
-        started = claim.started if claim is not None and claim.word is Word.SERVING else None
+        started = claim.started if claim is not None and claim.state is ClaimState.SERVING else None
         if entry.ours and not ours and started is None:
             started = now
         if started is not None and (entry.seen is None or started > entry.seen):
@@ -277,13 +283,14 @@
         after = (entry.serves, entry.started, entry.transport, entry.priority, entry.weight)
         return [Change(entry)] if after != before else []
 
-    def _named(self, now: datetime, place: Place) -> bool:
+    def _named(self, now: datetime, place: Endpoint) -> bool:
         """Whether any source still has it, also one that says it drains."""
         return any(
-            source.word(now, place) not in (Word.GONE, Word.UNNAMED) for source in self.sources.values()
+            source.word(now, place) not in (ClaimState.GONE, ClaimState.UNNAMED)
+            for source in self.sources.values()
         )
 
-    def _naming(self, place: Place) -> Claim | None:
+    def _naming(self, place: Endpoint) -> Claim | None:
         """Which claim names it: that of the first source, in their order, that has it."""
         for source in self.sources.values():
             saying = source.naming(place)
@@ -291,7 +298,7 @@
                 return saying.claim
         return None
 
-    def _transport(self, place: Place) -> str:
+    def _transport(self, place: Endpoint) -> str:
         """How it is reached, as the first source has it that says so."""
         for source in self.sources.values():
             saying = source.naming(place)
@@ -299,25 +306,25 @@
                 return saying.claim.transport
         return self.transport
 
-    def _rank(self, place: Place) -> tuple[int, int]:
+    def _rank(self, place: Endpoint) -> tuple[int, int]:
         """Its priority and weight, from the first source that ranks servers at all."""
         for source in self.sources.values():
             saying = source.naming(place)
             if saying is not None and saying.claim.priority is not None:
                 return saying.claim.priority, saying.claim.weight or 0
-        return self.unranked
+        return self.default_rank
 
     def _enter(self, now: datetime, claim: Claim, rule: Rule, came: datetime | None) -> Entry:
-        place = claim.place
+        place = claim.endpoint
         entry = self.entries[place] = Entry(
-            place, text_of(place), self._number(place), claim.name, self._transport(place),
+            place, format_address(place), self._number(place), claim.name, self._transport(place),
             *self._rank(place), rule, now, came,
         )  # fmt: skip
         self._places[entry.server] = place
         self._vouched += rule in VOUCHED
         return entry
 
-    def _remove(self, place: Place, rule: Rule, now: datetime) -> list[Change]:
+    def _remove(self, place: Endpoint, rule: Rule, now: datetime) -> list[Change]:
         """Nobody names it. Marks of its end are kept for a while: an older answer may still be on its way."""
         if rule is Rule.GONE:
             self._marks.setdefault(place, now)
@@ -330,7 +337,7 @@
         del self._numbers[entry.number], self._places[entry.server]
         return [Change(entry, removed=True)]
 
-    def _unmark(self, place: Place) -> None:
+    def _unmark(self, place: Endpoint) -> None:
         self._marks.pop(place, None)
         for source in self.sources.values():
             source.forget(place)
@@ -341,7 +348,7 @@
             place, since = next(iter(self._marks.items()))
             if place in self.entries:
                 del self._marks[place]
-            elif len(self._marks) > MARKS_MOST or now - since > self.gone_for:
+            elif len(self._marks) > MAX_MARKS or now - since > self.forget_after:
                 self._unmark(place)
             else:
                 return
@@ -359,7 +366,7 @@
 
     def _past(self, now: datetime) -> list[Change]:
         """A last resort serves while nobody else does, and no longer."""
-        if self.past is not Past.LAST_RESORT:
+        if self.expiry_policy is not ExpiryPolicy.LAST_RESORT:
             return []
         wanted = self._past_rule()
         changes = []
@@ -369,9 +376,9 @@
                 changes.append(Change(entry))
         return changes
 
-    def _number(self, place: Place) -> int:
+    def _number(self, place: Endpoint) -> int:
         """Its number in the pool: the same at each start, unless two servers share one by chance."""
-        digest = hashlib.sha256(text_of(place).encode()).digest()
+        digest = hashlib.sha256(format_address(place).encode()).digest()
         number = int.from_bytes(digest[:4], "big") >> 1
         while number in self._numbers:
             number = (number + 1) % 2**31
--- a/reedmount/pool/rule.py
+++ b/reedmount/pool/rule.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from reedmount.pool.claims import Word
+from reedmount.pool.claims import ClaimState
 
 
 class Rule(Enum):
@@ -26,15 +26,15 @@
 
 # The first line that fits decides: the safer view stands above the others.
 TABLE = (
-    (Word.GONE, Rule.GONE),
-    (Word.DRAINING, Rule.DRAINING),
-    (Word.SERVING, Rule.SERVING),
-    (Word.STALE, Rule.KEPT),
-    (Word.EXPIRED, Rule.EXPIRED),
+    (ClaimState.GONE, Rule.GONE),
+    (ClaimState.DRAINING, Rule.DRAINING),
+    (ClaimState.SERVING, Rule.SERVING),
+    (ClaimState.STALE, Rule.KEPT),
+    (ClaimState.EXPIRED, Rule.EXPIRED),
 )
 
 
-def decide(words: Iterable[Word]) -> Rule:
+def decide(words: Iterable[ClaimState]) -> Rule:
     """What holds of a server of which its sources say this, in whatever order."""
     said = set(words)
     for word, rule in TABLE:
--- a/reedmount/pool/source.py
+++ b/reedmount/pool/source.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 
-from reedmount.pool.claims import LEAVING, Claim, Place, Word
+from reedmount.pool.claims import LEAVING, Claim, ClaimState, Endpoint
 
 
 @dataclass(slots=True)
@@ -22,13 +22,13 @@
     failures: int = 0  # since that answer
     failure: str = ""
 
-    def age(self, now: datetime) -> Word:
+    def age(self, now: datetime) -> ClaimState:
         """What a naming of this part is worth now."""
         if self.fresh_until is None or now < self.fresh_until:
-            return Word.SERVING
+            return ClaimState.SERVING
         if self.kept_until is None or now < self.kept_until:
-            return Word.STALE
-        return Word.EXPIRED
+            return ClaimState.STALE
+        return ClaimState.EXPIRED
 
     @property
     def lapses(self) -> tuple[datetime, ...]:
@@ -51,7 +51,7 @@
 
     name: str
     parts: dict[str, Part] = field(default_factory=dict)
-    sayings: dict[Place, dict[str, Saying]] = field(default_factory=dict)
+    sayings: dict[Endpoint, dict[str, Saying]] = field(default_factory=dict)
 
     def part(self, name: str) -> Part:
         """A part, new where it has not been heard of."""
@@ -78,13 +78,13 @@
         part.failures += 1
         part.failure = why
 
-    def left_out(self, name: str, named: Iterable[Place]) -> list[Place]:
+    def left_out(self, name: str, named: Iterable[Endpoint]) -> list[Endpoint]:
         """The servers this part held as there, that a complete answer has not named."""
         there = set(named)
         return [
             place
             for place, by_part in self.sayings.items()
-            if place not in there and name in by_part and by_part[name].claim.word is not Word.GONE
+            if place not in there and name in by_part and by_part[name].claim.state is not ClaimState.GONE
         ]
 
     def say(self, now: datetime, name: str, claim: Claim, word: int) -> None:
@@ -92,45 +92,45 @@
 
         Word that an older process is gone is none of the one that has its address now.
         """
-        by_part = self.sayings.setdefault(claim.place, {})
+        by_part = self.sayings.setdefault(claim.endpoint, {})
         held = by_part.get(name)
         if held is not None and held.word > word:
             return
-        if held is not None and claim.word in LEAVING and claim.name != held.claim.name:
+        if held is not None and claim.state in LEAVING and claim.name != held.claim.name:
             return
         by_part[name] = Saying(claim, now, word)
 
-    def leave_out(self, now: datetime, name: str, place: Place, word: int) -> None:
+    def leave_out(self, now: datetime, name: str, place: Endpoint, word: int) -> None:
         """A complete answer has not named it."""
         held = self.sayings.get(place, {}).get(name)
         if held is None or held.word > word:
             return
-        gone = replace(held.claim, word=Word.GONE, started=None)
+        gone = replace(held.claim, state=ClaimState.GONE, started=None)
         self.sayings[place][name] = Saying(gone, now, word)
 
-    def word(self, now: datetime, place: Place) -> Word:
+    def word(self, now: datetime, place: Endpoint) -> ClaimState:
         """What it says of a server: draining before naming, and naming in any part before absence."""
         by_part = self.sayings.get(place)
         if not by_part:
-            return Word.UNNAMED
+            return ClaimState.UNNAMED
         found = {
-            saying.claim.word if saying.claim.word in LEAVING else self.parts[name].age(now)
+            saying.claim.state if saying.claim.state in LEAVING else self.parts[name].age(now)
             for name, saying in by_part.items()
         }
-        for word in (Word.DRAINING, Word.SERVING, Word.STALE, Word.EXPIRED):
+        for word in (ClaimState.DRAINING, ClaimState.SERVING, ClaimState.STALE, ClaimState.EXPIRED):
             if word in found:
                 return word
-        return Word.GONE
+        return ClaimState.GONE
 
-    def naming(self, place: Place) -> Saying | None:
+    def naming(self, place: Endpoint) -> Saying | None:
         """The saying that tells how the server is reached: of the part first heard of, not one of absence."""
         by_part = self.sayings.get(place) or {}
         for name in self.parts:
             saying = by_part.get(name)
-            if saying is not None and saying.claim.word is not Word.GONE:
+            if saying is not None and saying.claim.state is not ClaimState.GONE:
                 return saying
         return None
 
-    def forget(self, place: Place) -> None:
+    def forget(self, place: Endpoint) -> None:
         """No source names it any more."""
         self.sayings.pop(place, None)
--- a/reedmount/records/call_records.py
+++ b/reedmount/records/call_records.py
@@ -16,32 +16,38 @@
 from reedmount.core.switch import Switch
 from reedmount.fronts.sip import SipFront
 from reedmount.net.loop import Loop
-from reedmount.peers.replication import CopiesHost
-from reedmount.records.record import Held, decode, encode
-from reedmount.replicas.messages import DATA_MOST, Entry, Phase, ShardId
-from reedmount.sip.dialog import Side
+from reedmount.peers.replication import Replication
+from reedmount.records.record import CallRecord, decode, encode
+from reedmount.replicas.messages import MAX_DATA, Entry, Phase, ShardId
+from reedmount.sip.dialog import DialogState
 
 SWEEP_EVERY = timedelta(seconds=1)
 SWEPT_AT_ONCE = 1000
-REFERENCE_MOST = 256  # characters of a Call-ID
+MAX_REFERENCE = 256  # characters of a Call-ID
 PAGE = 256  # records in one answer at the door
 Then = Callable[[], None]
 
 
-class Keeper:
+class CallRecords:
     """It owns what is held of the calls that are here, and the queue of records that are complete."""
 
     def __init__(
-        self, loop: Loop, switch: Switch, front: SipFront, copies: CopiesHost, name: str, keep_for: timedelta
+        self,
+        loop: Loop,
+        switch: Switch,
+        front: SipFront,
+        replication: Replication,
+        name: str,
+        keep_for: timedelta,
     ) -> None:
         """``keep_for``: how long a complete record is kept."""
-        self._loop, self._switch, self._front, self._copies = loop, switch, front, copies
+        self._loop, self._switch, self._front, self._replication = loop, switch, front, replication
         self._name, self._keep_for = name, keep_for
-        self._held: dict[str, tuple[ShardId, Held]] = {}  # until it is over
+        self._held: dict[str, tuple[ShardId, CallRecord]] = {}  # until it is over
         self._complete: deque[tuple[datetime, str, ShardId]] = deque()
-        copies.user = self
-        switch.keeper = front.keeper = self
-        loop.after(SWEEP_EVERY, self._sweep)
+        replication.user = self
+        switch.recorder = front.recorder = self
+        loop.call_later(SWEEP_EVERY, self._sweep)
 
     def view(self, query: dict[str, str]) -> dict[str, object]:
         """A page of the complete records that are ours, for the door; ``after`` asks for what comes behind so
@@ -53,7 +59,7 @@
         return {"records": page, "next": after + PAGE if len(found) > PAGE else None}
 
     def _records(self) -> Iterator[dict[str, object] | None]:
-        for owner in self._copies.replicas.owners.values():
+        for owner in self._replication.replicas.owners.values():
             for entry in owner.copy:
                 if entry.phase is Phase.OVER:
                     yield self._shown(entry)
@@ -70,14 +76,14 @@
 
     # --- what the core tells ---
 
-    def taken(self, offer: Offer, at: datetime) -> None:
+    def call_offered(self, offer: Offer, at: datetime) -> None:
         """A call has come. Written behind its set-up, which takes longer."""
-        held = Held(
-            offer.name, offer.call_class, offer.number, micros(at), reference=offer.reference[:REFERENCE_MOST]
+        held = CallRecord(
+            offer.name, offer.call_class, offer.number, micros(at), reference=offer.reference[:MAX_REFERENCE]
         )
         self._held[offer.name] = self._hold(Phase.TAKEN, held), held
 
-    def final(self, name: str, outcome: str, attempts: int, server: str, answer: Then) -> None:
+    def call_rejected(self, name: str, outcome: str, attempts: int, server: str, answer: Then) -> None:
         """It is refused or has failed: its caller is told once its record is safe, or the wait is over."""
         known = self._held.pop(name, None)
         if known is None:
@@ -88,7 +94,7 @@
         held = replace(held, answered_us=now, ended_us=now, outcome=outcome, attempts=attempts, server=server)
         self._finish(shard, held, lambda _: answer())
 
-    def ended(self, name: str, how: str) -> None:
+    def call_ended(self, name: str, how: str) -> None:
         """A call that stood has come to its end: written behind that."""
         known = self._held.pop(name, None)
         if known is not None:
@@ -96,7 +102,7 @@
             now = micros(self._loop.clock.now())
             self._finish(shard, replace(held, ended_us=now, outcome=how, sides=()))
 
-    def dropped(self, name: str, attempts: int, server: str) -> None:
+    def call_forgotten(self, name: str, attempts: int, server: str) -> None:
         """The core has forgotten it; where nothing else was said of its end, its caller has given it up."""
         known = self._held.pop(name, None)
         if known is not None:
@@ -108,7 +114,9 @@
 
     # --- what the front tells ---
 
-    def stands(self, name: str, server: str, attempts: int, sides: tuple[Side, ...], then: Then) -> None:
+    def call_established(
+        self, name: str, server: str, attempts: int, sides: tuple[DialogState, ...], then: Then
+    ) -> None:
         """A call server has answered: ``then`` acknowledges that and tells the caller."""
         known = self._held.get(name)
         if known is None:
@@ -151,7 +159,7 @@
         """Another member has this call of ours: it released it, and we let go of it, without a record."""
         COUNTERS.add("records.let_go")
         self._held.pop(entry.key, None)
-        self._switch.cut(entry.key)
+        self._switch.terminate(entry.key)
 
     def goes_on(self, entry: Entry) -> None:
         """Nobody else ever heard of this one: it is held anew, in the shard that we have now."""
@@ -164,17 +172,17 @@
     # --- keeping ---
 
     def _hold(
-        self, phase: Phase, held: Held, shard: ShardId | None = None,
+        self, phase: Phase, held: CallRecord, shard: ShardId | None = None,
         then: Callable[[bool], None] | None = None,
     ) -> ShardId:  # fmt: skip
         data = encode(held)
-        if len(data) > DATA_MOST:
+        if len(data) > MAX_DATA:
             # Routes without measure: the record is worth more than a release that a survivor could send.
             COUNTERS.add("records.too_long")
             data = encode(replace(held, sides=(), number=held.number[:64]))
-        return self._copies.hold(held.name, phase, data, then, shard)
+        return self._replication.hold(held.name, phase, data, then, shard)
 
-    def _finish(self, shard: ShardId, held: Held, then: Callable[[bool], None] | None = None) -> None:
+    def _finish(self, shard: ShardId, held: CallRecord, then: Callable[[bool], None] | None = None) -> None:
         COUNTERS.add("records.complete")
         where = self._hold(Phase.OVER, held, shard, then)
         self._complete.append((self._loop.clock.now(), held.name, where))
@@ -187,5 +195,5 @@
             if now - at < self._keep_for:
                 break
             self._complete.popleft()
-            self._copies.hold(name, Phase.DROPPED, b"", None, shard)
-        self._loop.after(SWEEP_EVERY, self._sweep)
+            self._replication.hold(name, Phase.DROPPED, b"", None, shard)
+        self._loop.call_later(SWEEP_EVERY, self._sweep)
--- a/reedmount/records/record.py
+++ b/reedmount/records/record.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from reedmount.sip.dialog import Side
+from reedmount.sip.dialog import DialogState
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True):
+class CallRecord(msgspec.Struct, frozen=True, array_like=True):
     """One call. Times are Unix microseconds, 0 where it did not come to that."""
 
     name: str
@@ -20,20 +20,20 @@
     attempts: int = 0
     server: str = ""
     finished_by: str = ""  # who completed the record, where that was not its owner
-    sides: tuple[Side, ...] = ()  # the caller's, the call server's, while it stands
+    sides: tuple[DialogState, ...] = ()  # the caller's, the call server's, while it stands
     reference: str = ""  # what its caller calls it: the Call-ID of its INVITE
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decoder = msgspec.msgpack.Decoder(Held)
+_decoder = msgspec.msgpack.Decoder(CallRecord)
 
 
-def encode(held: Held) -> bytes:
+def encode(held: CallRecord) -> bytes:
     """As it is kept."""
     return _encode(held)
 
 
-def decode(data: bytes) -> Held:
+def decode(data: bytes) -> CallRecord:
     """What was kept. Raises ValueError where it is no record."""
     try:
         return _decoder.decode(data)
--- a/reedmount/records/settings.py
+++ b/reedmount/records/settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from reedmount.config import ConfigError
-from reedmount.replicas.placement import FAULTS_MOST
+from reedmount.replicas.placement import MAX_FAULTS
 from reedmount.store.faulty import Faults
 from reedmount.tables import Table
 
@@ -28,7 +28,7 @@
     """Read and check it. ``base``: the folder of the file; ``members``: how many the roster has. Raises
     ConfigError naming the key."""
     plain = ReplicaSettings()
-    faults = table.amount("faults", int, plain.faults, 0, FAULTS_MOST)
+    faults = table.amount("faults", int, plain.faults, 0, MAX_FAULTS)
     if members < 2 * faults + 1:
         wants = 2 * faults + 1
         raise ConfigError(f"{table.path}.faults: {faults} need a roster of {wants}, it has {members}")
--- a/reedmount/replicas/failover.py
+++ b/reedmount/replicas/failover.py
@@ -28,10 +28,10 @@
     """What the members' view says."""
 
     @property
-    def may_decide(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether we are in a majority."""
 
-    def life_of(self, name: str) -> int | None:
+    def boot_id_of(self, name: str) -> int | None:
         """Of a member that is alive or suspected; None where it is dead, has left or is not known."""
 
 
@@ -60,8 +60,8 @@
 class Succession:
     """The shards whose owner is gone, and our tries to act for it."""
 
-    def __init__(self, me: str, life: int, roster: Collection[str], faults: int, holder: Holder) -> None:
-        self._me, self._life, self._roster = me, life, frozenset(roster)
+    def __init__(self, me: str, boot_id: int, voters: Collection[str], faults: int, holder: Holder) -> None:
+        self._me, self._boot_id, self._voters = me, boot_id, frozenset(voters)
         self._faults, self._holder = faults, holder
         self._gone_at: dict[ShardId, datetime] = {}  # since when its owner is, as we see it
         self._heard_at: dict[ShardId, datetime] = {}  # its writer, while our view calls that gone
@@ -82,7 +82,7 @@
             if copy.touched:
                 copy.touched, self._heard_at[shard] = False, now
             heard = self._heard_at.get(shard)
-            if not sight.may_decide or heard is not None and now - heard < QUIET:
+            if not sight.has_quorum or heard is not None and now - heard < QUIET:
                 continue
             if shard in self._rounds:
                 sends += self._ask_again(now, shard)
@@ -121,20 +121,20 @@
     def _in_hand(self, copy: Copy, sight: Sight) -> bool:
         """Whether whoever has the highest term that we know of is there, in the life that had it."""
         by = copy.promised.by
-        return by != self._me and sight.life_of(by) == copy.promised.life
+        return by != self._me and sight.boot_id_of(by) == copy.promised.boot_id
 
     def _before_us(self, shard: ShardId, sight: Sight) -> int:
         """How many holders before us are there: each has its time to act."""
-        order = holders(shard.owner, self._roster, self._faults)
+        order = holders(shard.owner, self._voters, self._faults)
         before = order[: order.index(self._me)] if self._me in order else order
-        return sum(sight.life_of(name) is not None for name in before)
+        return sum(sight.boot_id_of(name) is not None for name in before)
 
     def _others(self, shard: ShardId) -> tuple[str, ...]:
-        order = holders(shard.owner, self._roster, self._faults)
+        order = holders(shard.owner, self._voters, self._faults)
         return tuple(name for name in order if name != self._me)
 
     def _begin(self, now: datetime, shard: ShardId, copy: Copy) -> list[Send]:
-        term = Term(copy.promised.number + 1, self._me, self._life)
+        term = Term(copy.promised.number + 1, self._me, self._boot_id)
         if not self._holder.promise(shard, term):
             return []
         COUNTERS.add("replicas.rounds")
--- a/reedmount/replicas/holder.py
+++ b/reedmount/replicas/holder.py
@@ -22,7 +22,7 @@
 from reedmount.replicas.owner import Send
 from reedmount.replicas.shard_replica import Copy
 
-SHARDS_MOST = 4096  # of others: the lives of all members that are not closed yet
+MAX_SHARDS = 4096  # of others: the lives of all members that are not closed yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
     def _copy(self, sender: str, shard: ShardId, term: Term) -> tuple[Copy | None, list[Send]]:
         copy = self.copies.get(shard)
         if copy is None:
-            if len(self.copies) >= SHARDS_MOST:
+            if len(self.copies) >= MAX_SHARDS:
                 COUNTERS.add("replicas.no_room")
                 return None, []
             copy = self.copies[shard] = Copy(shard, term, complete=False)
--- a/reedmount/replicas/messages.py
+++ b/reedmount/replicas/messages.py
@@ -16,19 +16,19 @@
 import msgspec
 from msgspec import Meta
 
-from reedmount.members.record import NAME_MOST, Word
+from reedmount.members.record import MAX_NAME, Word
 
-KEY_MOST = 120  # bytes of a call's name
-DATA_MOST = 16_384  # of what is kept of a call
-ENTRIES_MOST = 128  # in one message
-FRAME_MOST = 32_000  # bytes of a message: a connection reads no more at once
+MAX_KEY = 120  # bytes of a call's name
+MAX_DATA = 16_384  # of what is kept of a call
+MAX_ENTRIES = 128  # in one message
+MAX_FRAME = 32_000  # bytes of a message: a connection reads no more at once
 BODY = 12_288  # of entries, after which the next message begins
 FRAME = struct.Struct(">II")
-SEQ_MOST = 2**53
-ENTRY_HEAD = KEY_MOST + 2 * NAME_MOST + 40  # bytes at most beside its data
+MAX_SEQ = 2**53
+ENTRY_HEAD = MAX_KEY + 2 * MAX_NAME + 40  # bytes at most beside its data
 
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-Seq = Annotated[int, Meta(ge=0, le=SEQ_MOST)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
+Seq = Annotated[int, Meta(ge=0, le=MAX_SEQ)]
 
 
 class Phase(IntEnum):
@@ -44,7 +44,7 @@
     """What one life of a member holds. A new epoch begins where somebody else has taken the one before."""
 
     owner: Name
-    life: Word
+    boot_id: Word
     epoch: Annotated[int, Meta(ge=0, le=2**31)] = 0
 
 
@@ -54,7 +54,7 @@
 
     number: Annotated[int, Meta(ge=1, le=2**31)]
     by: Name
-    life: Word
+    boot_id: Word
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -62,9 +62,9 @@
     ring: the collector, which would stop the calls for it, is spared them."""
 
     seq: Seq
-    key: Annotated[str, Meta(min_length=1, max_length=KEY_MOST)]
+    key: Annotated[str, Meta(min_length=1, max_length=MAX_KEY)]
     phase: Phase
-    data: Annotated[bytes, Meta(max_length=DATA_MOST)]
+    data: Annotated[bytes, Meta(max_length=MAX_DATA)]
     term: Term  # under which it was written
 
     @property
@@ -77,7 +77,7 @@
     """Who is at the other end; the first message each way."""
 
     name: Name
-    life: Word
+    boot_id: Word
     group: Word
 
 
@@ -88,7 +88,7 @@
     shard: ShardId
     term: Term
     after: Seq
-    entries: Annotated[list[Entry], Meta(max_length=ENTRIES_MOST)]
+    entries: Annotated[list[Entry], Meta(max_length=MAX_ENTRIES)]
     settled: Seq = 0
 
 
@@ -100,7 +100,7 @@
     upto: Seq
     page: Annotated[int, Meta(ge=0, le=2**31)]
     last: bool
-    entries: Annotated[list[Entry], Meta(max_length=ENTRIES_MOST)]
+    entries: Annotated[list[Entry], Meta(max_length=MAX_ENTRIES)]
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=3):
@@ -136,7 +136,7 @@
     complete: bool
     seq: Seq
     last: bool
-    entries: Annotated[list[Entry], Meta(max_length=ENTRIES_MOST)]
+    entries: Annotated[list[Entry], Meta(max_length=MAX_ENTRIES)]
 
 
 class Close(msgspec.Struct, frozen=True, array_like=True, tag=7):
@@ -170,7 +170,7 @@
 def length_of(head: bytes) -> int:
     """How long the message is that this head announces, the head included. Raises FrameError."""
     length, _ = FRAME.unpack_from(head)
-    if length > FRAME_MOST:
+    if length > MAX_FRAME:
         raise FrameError("long")
     return int(length) + FRAME.size
 
@@ -194,7 +194,7 @@
     size = 0
     for entry in entries:
         length = len(entry.data) + ENTRY_HEAD
-        if made[-1] and (size + length > BODY or len(made[-1]) == ENTRIES_MOST):
+        if made[-1] and (size + length > BODY or len(made[-1]) == MAX_ENTRIES):
             made.append([])
             size = 0
         made[-1].append(entry)
--- a/reedmount/replicas/owner.py
+++ b/reedmount/replicas/owner.py
@@ -12,7 +12,7 @@
 
 from reedmount.core.checks import COUNTERS, invariant
 from reedmount.replicas.messages import (
-    ENTRIES_MOST,
+    MAX_ENTRIES,
     Ack,
     Append,
     Close,
@@ -25,7 +25,7 @@
 )  # fmt: skip
 from reedmount.replicas.shard_replica import Copy
 
-LOG_MOST = 65_536  # steps that are kept for holders that are behind: beyond that they get a snapshot
+MAX_LOG = 65_536  # steps that are kept for holders that are behind: beyond that they get a snapshot
 WINDOW = 1024  # steps on their way to one holder
 PAGES = 4  # of a snapshot on their way to one holder: what repair may cost at once
 ASK_AGAIN = timedelta(milliseconds=500)  # a holder that said nothing for so long is asked where it is
@@ -57,7 +57,7 @@
     def page(self, number: int) -> tuple[list[Entry], bool]:
         """One of them, and whether it is the last. Each can be had again after the ones before it."""
         begin = self._begins[number]
-        part = parts(self._entries[begin : begin + ENTRIES_MOST])[0]
+        part = parts(self._entries[begin : begin + MAX_ENTRIES])[0]
         if len(self._begins) == number + 1:
             self._begins.append(begin + len(part))
         return part, begin + len(part) >= len(self._entries)
@@ -112,7 +112,7 @@
         entry = Entry(self.copy.seq + 1, key, phase, data, self.copy.term)
         self.copy.add(entry)
         self._log.append(entry)
-        if len(self._log) > LOG_MOST:
+        if len(self._log) > MAX_LOG:
             self._log.popleft()
         return entry
 
--- a/reedmount/replicas/replicas.py
+++ b/reedmount/replicas/replicas.py
@@ -75,11 +75,11 @@
 class Replicas:
     """It owns the owners, the holder and the succession."""
 
-    def __init__(self, me: str, life: int, roster: Collection[str], faults: int) -> None:
+    def __init__(self, me: str, boot_id: int, voters: Collection[str], faults: int) -> None:
         """``faults``: f, the machines that may be lost at once with their disks, 0 to 3."""
-        self._me, self._life, self._roster, self._faults = me, life, frozenset(roster), faults
+        self._me, self._boot_id, self._voters, self._faults = me, boot_id, frozenset(voters), faults
         self._holder = Holder()
-        self._succession = Succession(me, life, roster, faults, self._holder)
+        self._succession = Succession(me, boot_id, voters, faults, self._holder)
         self._owners: dict[ShardId, Owner] = {}
         self._finishing: dict[ShardId, datetime] = {}  # taken over then, not durable under our term yet
         self._connected: set[str] = set()
@@ -214,9 +214,9 @@
     # --- owners ---
 
     def _begin(self, epoch: int) -> None:
-        shard = ShardId(self._me, self._life, epoch)
-        copy = Copy(shard, Term(1, self._me, self._life), complete=True)
-        others = holders(self._me, self._roster, self._faults)
+        shard = ShardId(self._me, self._boot_id, epoch)
+        copy = Copy(shard, Term(1, self._me, self._boot_id), complete=True)
+        others = holders(self._me, self._voters, self._faults)
         self._own = self._owners[shard] = Owner(copy, others, self._faults)
 
     def _follow(self, now: datetime, owner: Owner) -> None:
--- a/reedmount/simhost.py
+++ b/reedmount/simhost.py
@@ -161,7 +161,7 @@
         name=options.text(path + "name"),
         worth=options.number(path + "worth"),
         late_share=options.number(path + "late_share"),
-        aim_us=options.whole(path + "target"),
+        target_us=options.whole(path + "target"),
         give_up_us=options.whole(path + "deadline"),
         effect=word(EFFECTS, options.text(path + "effect"), "effect"),
         servers=tuple(whole(item, "pool number") for item in pools.split(",") if item) if pools else None,
@@ -180,7 +180,7 @@
     """Read what a site tells a proxy at its start."""
     options = Options(parts)
     return i.Settings(
-        proxies=options.whole("balancers"),
+        instances=options.whole("balancers"),
         classes=tuple(read_class(options, index) for index in range(options.count("classes"))),
         tenants=tuple(
             i.Tenant(options.text(f"tenants.{n}.name"), options.number(f"tenants.{n}.quota_per_s"))
@@ -197,7 +197,7 @@
         may_cancel=options.flag("allowed.cancel"),
         redials_marked=options.flag("clients.marks_retry"),
         subscribe=options.text("discovery") == "on_request",
-        longest_pause_us=longest_pause(options),
+        max_retry_after_us=longest_pause(options),
     )
 
 
@@ -217,10 +217,10 @@
     )
 
 
-def read_stands(values: list[str]) -> i.CallStands:
+def read_stands(values: list[str]) -> i.CallEstablished:
     """BEGUN."""
     call, copy, server, spent = values
-    return i.CallStands(
+    return i.CallEstablished(
         whole(call, "request_id"), whole(copy, "copy"), needed(server, "server"), whole(spent, "spent")
     )
 
@@ -241,9 +241,9 @@
     )
 
 
-def read_gone(values: list[str]) -> i.CallerGone:
+def read_gone(values: list[str]) -> i.CallerAbandoned:
     """EXPIRED."""
-    return i.CallerGone(whole(values[0], "request_id"))
+    return i.CallerAbandoned(whole(values[0], "request_id"))
 
 
 def read_timer(values: list[str]) -> i.TimerFired:
@@ -251,12 +251,12 @@
     return i.TimerFired(needed(values[0], "handle"))
 
 
-def read_probed(values: list[str]) -> i.Reports:
+def read_probed(values: list[str]) -> i.LoadReports:
     """PONG."""
     spent, verdict, server, usage = values
     whole(spent, "spent")
     word(OUTCOMES, verdict, "verdict")
-    return i.Reports(((needed(server, "server"), read_report(usage)),))
+    return i.LoadReports(((needed(server, "server"), read_report(usage)),))
 
 
 def read_note(values: list[str]) -> i.PeerNote:
--- a/reedmount/sip/dialog.py
+++ b/reedmount/sip/dialog.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Side:
+class DialogState:
     """A leg as somebody else needs it to end it: a dialog as its owner last had it, and the transport."""
 
     call_id: str
@@ -59,7 +59,7 @@
     transport: str  # udp or tcp
 
     @classmethod
-    def of(cls, dialog: Dialog, reliable: bool) -> Side:
+    def of(cls, dialog: Dialog, reliable: bool) -> DialogState:
         """Of a dialog, and whether its transport is a reliable one."""
         return cls(
             dialog.call_id, dialog.local, dialog.remote, dialog.target, tuple(dialog.route), dialog.number,
@@ -82,7 +82,7 @@
     return [value for text in message.all("Record-Route") for value in header_values(text)]
 
 
-def as_callee(invite: Message, local: str) -> Dialog:
+def uas_dialog(invite: Message, local: str) -> Dialog:
     """The dialog of an INVITE that we answer; ``local`` is its To with our tag."""
     contact = invite.get("Contact")
     if not contact:
@@ -93,7 +93,7 @@
     )  # fmt: skip
 
 
-def as_caller(invite: Message, answer: Message) -> Dialog:
+def uac_dialog(invite: Message, answer: Message) -> Dialog:
     """The dialog of an INVITE of ours that was answered."""
     contact = answer.get("Contact")
     return Dialog(
@@ -103,7 +103,7 @@
     )  # fmt: skip
 
 
-def key_of(message: Message) -> Key:
+def dialog_key(message: Message) -> Key:
     """The dialog that a request of the peer belongs to: our tag stands in its To."""
     return (
         message.call_id,
--- a/reedmount/sip/endpoint.py
+++ b/reedmount/sip/endpoint.py
@@ -9,8 +9,8 @@
 
 from reedmount.core.actors import Actor
 from reedmount.core.checks import COUNTERS, log
-from reedmount.core.fault_isolation import contained
-from reedmount.net.connection import Address, Connection, End, both, text_of
+from reedmount.core.fault_isolation import run_isolated
+from reedmount.net.connection import Address, Connection, EndReason, both, format_address
 from reedmount.net.loop import READ, Loop
 from reedmount.net.ring import Ring
 from reedmount.sip.framing import next_message
@@ -29,7 +29,7 @@
     Layer,
     ServerTransaction,
     Timers,
-    User,
+    TransactionUser,
     answer_error,
     check,
     top_via,
@@ -68,8 +68,8 @@
     def __init__(self, endpoint: Endpoint, sock: socket.socket) -> None:
         self._endpoint = endpoint
         self.ipv6 = sock.family == socket.AF_INET6
-        self._actor: Actor[End | None] = Actor(endpoint.loop, self._handle)
-        self.on_lost: Callable[[End], None] | None = None
+        self._actor: Actor[EndReason | None] = Actor(endpoint.loop, self._handle)
+        self.on_lost: Callable[[EndReason], None] | None = None
         self.on_up: Callable[[], None] | None = None
         self.connection = Connection(endpoint.loop, sock, self._heard, self._ended, self._sent)
 
@@ -90,20 +90,20 @@
     def _heard(self, _: Connection) -> None:
         self._actor.post(None)
 
-    def _ended(self, _: Connection, how: End) -> None:
+    def _ended(self, _: Connection, how: EndReason) -> None:
         self._actor.post(how)
 
     def _sent(self, _: Connection) -> None:
         if self.on_up is not None:
             self.on_up()
 
-    def _handle(self, item: End | None) -> None:
+    def _handle(self, item: EndReason | None) -> None:
         if item is not None:
             self._endpoint.lost(self, item)
             if self.on_lost is not None:
                 self.on_lost(item)
             return
-        contained("sip.stream", self._read, self._spoilt)
+        run_isolated("sip.stream", self._read, self._spoilt)
 
     def _pong(self, ring: Ring) -> None:
         """A keep-alive is answered (RFC 5626, 4.4.1); many at once by one answer: they cost little."""
@@ -116,9 +116,9 @@
     def _spoilt(self) -> None:
         """Reading has gone wrong: where the next message begins is not known."""
         self.connection.close()
-        self._endpoint.lost(self, End.OURS)
+        self._endpoint.lost(self, EndReason.OURS)
         if self.on_lost is not None:
-            self.on_lost(End.RESET)
+            self.on_lost(EndReason.RESET)
 
     def _read(self) -> None:
         while not self.connection.ended:
@@ -134,8 +134,8 @@
             except SipError as error:
                 # The stream is out of step: say why, where the head can be read, and close.
                 self._endpoint.refuse(_head(ring.peek(LONGEST)), error, self)
-                self.connection.close_when_sent()
-                self._endpoint.lost(self, End.OURS)
+                self.connection.close_after_send()
+                self._endpoint.lost(self, EndReason.OURS)
                 return
             self._endpoint.received(message, self)
 
@@ -168,7 +168,12 @@
     """The transport layer (section 18) under the transactions."""
 
     def __init__(
-        self, loop: Loop, address: Address, timers: Timers, user: User, address6: Address | None = None
+        self,
+        loop: Loop,
+        address: Address,
+        timers: Timers,
+        user: TransactionUser,
+        address6: Address | None = None,
     ) -> None:
         self.loop = loop
         self.layer = Layer(loop, timers, user)
@@ -196,12 +201,12 @@
     def via(self, hop: Hop, branch: str) -> str:
         """Our Via value."""
         transport = "TCP" if hop.reliable else "UDP"
-        return f"SIP/2.0/{transport} {text_of(self.own(hop.ipv6))};branch={branch};rport"
+        return f"SIP/2.0/{transport} {format_address(self.own(hop.ipv6))};branch={branch};rport"
 
     def contact(self, hop: Hop) -> str:
         """Our Contact value."""
         transport = "tcp" if hop.reliable else "udp"
-        return f"<sip:reedmount@{text_of(self.own(hop.ipv6))};transport={transport}>"
+        return f"<sip:reedmount@{format_address(self.own(hop.ipv6))};transport={transport}>"
 
     def received(self, message: Message, hop: UdpHop | TcpHop) -> None:
         """Check a message and give it to its transaction."""
@@ -222,7 +227,7 @@
         if answer is not None:
             hop.send(answer.encode())
 
-    def lost(self, hop: TcpHop, _: End) -> None:
+    def lost(self, hop: TcpHop, _: EndReason) -> None:
         """A connection has ended: its transactions have to know."""
         self._hops.pop(hop, None)
         self.on_hop_lost(self.layer.hop_lost(hop))
@@ -258,7 +263,7 @@
             self._datagrams.post((data, address[:2]))
 
     def _datagram(self, item: tuple[bytes, Address]) -> None:
-        contained("sip.datagram", lambda: self._datagram_read(*item))
+        run_isolated("sip.datagram", lambda: self._datagram_read(*item))
 
     def _datagram_read(self, data: bytes, address: Address) -> None:
         if not data.strip(b"\r\n\0"):
--- a/reedmount/sip/message.py
+++ b/reedmount/sip/message.py
@@ -146,7 +146,7 @@
 
 
 NAMES: dict[str, tuple[str, str]] = {}  # header names met so far: as they are written on, and in lower case
-MOST_NAMES, LONGEST_NAME = 256, 40
+MAX_NAMES, LONGEST_NAME = 256, 40
 SINGLE = frozenset(("call-id", "cseq", "content-length", "from", "to", "max-forwards"))  # else: which counts?
 
 
@@ -156,7 +156,7 @@
         raise SipError(400, f"malformed header line: {line[:60]!r}")
     key = COMPACT.get(key.lower(), key)
     found = (key, key.lower())
-    if len(NAMES) < MOST_NAMES and len(text) <= LONGEST_NAME:
+    if len(NAMES) < MAX_NAMES and len(text) <= LONGEST_NAME:
         NAMES[text] = found
     return found
 
--- a/reedmount/sip/transaction.py
+++ b/reedmount/sip/transaction.py
@@ -10,7 +10,7 @@
 
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS
-from reedmount.core.fault_isolation import contained
+from reedmount.core.fault_isolation import run_isolated
 from reedmount.net.loop import Loop
 from reedmount.sip.message import Message, SipError, first_value, parameter, request, response
 
@@ -105,7 +105,7 @@
         return self.request.method == "INVITE"
 
     def _after(self, span: timedelta, work: Callable[[], None]) -> None:
-        self._timers.append(self._layer.loop.after(span, work))
+        self._timers.append(self._layer.loop.call_later(span, work))
 
     def _stop(self) -> None:
         for timer in self._timers:
@@ -275,26 +275,26 @@
         self._on_answer(None)
 
 
-class User(Protocol):
+class TransactionUser(Protocol):
     """What uses the transactions."""
 
     def requested(self, transaction: ServerTransaction) -> None:
         """A new request."""
 
-    def gave_up(self, transaction: ServerTransaction) -> None:
+    def request_failed(self, transaction: ServerTransaction) -> None:
         """Serving a request has gone wrong: end what it owns, and answer it where that is still owed."""
 
     def acknowledged(self, message: Message) -> None:
         """The ACK of a 2xx, which belongs to no transaction."""
 
-    def stray(self, message: Message, hop: Hop) -> None:
+    def unmatched_response(self, message: Message, hop: Hop) -> None:
         """A response to no transaction known."""
 
 
 class Layer:
     """All transactions; messages are matched to them here."""
 
-    def __init__(self, loop: Loop, timers: Timers, user: User) -> None:
+    def __init__(self, loop: Loop, timers: Timers, user: TransactionUser) -> None:
         self.loop, self.timers = loop, timers
         self._user = user
         self._servers: dict[Key, ServerTransaction] = {}
@@ -315,10 +315,10 @@
         if not message.is_request:
             client = self._clients.get(client_key(message))
             if client is None:
-                contained("sip.response", lambda: self._user.stray(message, hop))
+                run_isolated("sip.response", lambda: self._user.unmatched_response(message, hop))
             else:
                 found = client
-                contained("sip.response", lambda: found.received(message), found.abandon)
+                run_isolated("sip.response", lambda: found.received(message), found.abandon)
             return
         key = server_key(message)
         server = self._servers.get(key)
@@ -326,13 +326,15 @@
             if server is not None and server.state is not State.ACCEPTED:
                 server.acknowledged()
             else:
-                contained("sip.ack", lambda: self._user.acknowledged(message))
+                run_isolated("sip.ack", lambda: self._user.acknowledged(message))
         elif server is not None:
             server.repeated()
         else:
             fresh = self._servers[key] = ServerTransaction(self, message, hop, key)
             self._enter(fresh)
-            contained("sip.request", lambda: self._user.requested(fresh), lambda: self._user.gave_up(fresh))
+            run_isolated(
+                "sip.request", lambda: self._user.requested(fresh), lambda: self._user.request_failed(fresh)
+            )
 
     def cancelled_by(self, message: Message) -> ServerTransaction | None:
         """The INVITE that a CANCEL names."""
--- a/reedmount/sources/lists.py
+++ b/reedmount/sources/lists.py
@@ -9,9 +9,9 @@
 
 from reedmount import interface as i
 from reedmount.core.checks import COUNTERS, log
-from reedmount.core.ports import Listed
-from reedmount.dns.zone import Found, save, servers
-from reedmount.pool.claims import Claim, Word
+from reedmount.core.ports import ListedServer
+from reedmount.dns.zone import ZoneServer, save_zone, zone_servers
+from reedmount.pool.claims import Claim, ClaimState
 from reedmount.sources.pool_host import PoolHost
 
 BOARD, ZONE, FIXED = "list", "zone", "file"
@@ -23,17 +23,19 @@
     def __init__(self, host: PoolHost) -> None:
         self._host = host
 
-    def pool(self, version: int, kind: i.ListKind, entries: list[Listed]) -> None:
+    def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
         """As ``Switch.pool``; the versions have been checked by the reader."""
         claims = [self._claim(entry) for entry in entries]
         if kind is i.ListKind.CHANGES:
-            self._host.news(BOARD, claims)
+            self._host.partial_update(BOARD, claims)
         elif claims:  # one that was never heard says nothing, not that there are none
-            self._host.whole(BOARD, claims)
+            self._host.full_update(BOARD, claims)
 
     @staticmethod
-    def _claim(entry: Listed) -> Claim:
-        word = Word.GONE if entry.removed else Word.SERVING if entry.serving else Word.DRAINING
+    def _claim(entry: ListedServer) -> Claim:
+        word = (
+            ClaimState.GONE if entry.removed else ClaimState.SERVING if entry.serving else ClaimState.DRAINING
+        )
         return Claim(entry.address, entry.server, word, started=entry.started)  # it names no transport
 
 
@@ -62,16 +64,16 @@
         log(f"zone changed: {len(found)} call servers", "dns.changed")
         if self._write_back is not None and not saved:
             try:
-                save(zone, self._write_back)
+                save_zone(zone, self._write_back)
             except OSError as error:
                 COUNTERS.add("dns.not_saved")
                 log(f"{self._write_back}: {error}", "dns.not_saved")
 
-    def _say(self) -> list[Found]:
-        found = list(servers(self._zone, self._transports).values())
+    def _say(self) -> list[ZoneServer]:
+        found = list(zone_servers(self._zone, self._transports).values())
         claims = [
             Claim(
-                place=item.address,
+                endpoint=item.address,
                 name=item.server.rpartition(":")[0],
                 transport=item.transport,
                 priority=item.priority,
@@ -79,10 +81,10 @@
             )
             for item in found
         ]
-        self._host.whole(ZONE, claims)
+        self._host.full_update(ZONE, claims)
         return found
 
 
-def tell_fixed(host: PoolHost, claims: Sequence[Claim]) -> None:
+def publish_fixed(host: PoolHost, claims: Sequence[Claim]) -> None:
     """The servers that the operator's file names, as it stands now."""
-    host.whole(FIXED, claims)
+    host.full_update(FIXED, claims)
--- a/reedmount/sources/member_reports.py
+++ b/reedmount/sources/member_reports.py
@@ -7,10 +7,10 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import log
 from reedmount.core.clock import ZERO
-from reedmount.members.knowledge import AGE_MOST, MILLI, Fact, ListState
+from reedmount.members.knowledge import MAX_AGE, MILLI, Fact, ListState
 from reedmount.members.outbox import Told
 from reedmount.members.server_reports import Hearsay
-from reedmount.peers.membership import Peers
+from reedmount.peers.membership import Membership
 from reedmount.pool.pool import Entry
 from reedmount.pool.rule import Rule
 from reedmount.sources.pool_host import PoolHost
@@ -19,18 +19,20 @@
 Saying = tuple[ListState, datetime | None]
 
 
-class HearsayHost:
+class MemberReports:
     """Joins the pool and the members. What to do about a word is decided in ``members/hearsay.py``."""
 
-    def __init__(self, host: PoolHost, peers: Peers, name: str, cold: timedelta, bound: timedelta) -> None:
+    def __init__(
+        self, host: PoolHost, membership: Membership, name: str, cold: timedelta, bound: timedelta
+    ) -> None:
         """``name``: ours among the members; ``cold``: how long a started server is; ``bound``: of a hold."""
-        self._loop, self._host, self._peers, self._name = host.loop, host, peers, name
-        self._hearsay = Hearsay(peers.protocol.rumours.knowledge, cold, bound)
+        self._loop, self._host, self._membership, self._name = host.loop, host, membership, name
+        self._hearsay = Hearsay(membership.protocol.rumours.knowledge, cold, bound)
         self._said: dict[str, Saying] = {}  # of servers in the pool, as the others were told last
         self._looking = False
         self._timer: Timer | None = None
         host.on_change(self._changed)
-        peers.on_facts(self._told)
+        membership.on_facts(self._told)
 
     def view(self) -> dict[str, object]:
         """For the door: whom we hold back or pace on the word of others, and whose word is doubted."""
@@ -68,8 +70,8 @@
     def _tell(self, entry: Entry, state: ListState) -> None:
         now, cold_ms = self._loop.clock.now(), -1
         if entry.seen is not None and state is ListState.SERVING:
-            cold_ms = min(AGE_MOST, max(ZERO, now - entry.seen) // MILLI)
-        self._peers.saw(Fact(entry.server, self._name, 0, state, cold_ms))
+            cold_ms = min(MAX_AGE, max(ZERO, now - entry.seen) // MILLI)
+        self._membership.saw(Fact(entry.server, self._name, 0, state, cold_ms))
 
     # --- what others see ---
 
@@ -80,7 +82,7 @@
         """In this turn still, once for all that came in it."""
         if not self._looking:
             self._looking = True
-            self._loop.soon(self._look)
+            self._loop.call_soon(self._look)
 
     def _look(self) -> None:
         self._looking = False
@@ -88,13 +90,13 @@
             self._timer.cancel()
             self._timer = None
         pool, before = self._host.pool, self._hearsay.verdict.held.keys()
-        verdict = self._hearsay.look(self._loop.clock.now(), self._ours, pool.vouched)
+        verdict = self._hearsay.look(self._loop.clock.now(), self._ours, pool.vouched_count)
         for server in verdict.held.keys() - before:
             seen_by = ", ".join(verdict.held[server].by)
             log(f"{server} is held back: {seen_by} saw it leave", "hearsay.held")
-        self._host.hear(verdict.held.keys(), verdict.starts)
+        self._host.apply_member_reports(verdict.held.keys(), verdict.starts)
         if verdict.due is not None:
-            self._timer = self._loop.at(verdict.due, self._soon)
+            self._timer = self._loop.call_at(verdict.due, self._soon)
 
     def _ours(self, server: str) -> bool:
         entry = self._host.pool.find(server)
--- a/reedmount/sources/pool_host.py
+++ b/reedmount/sources/pool_host.py
@@ -11,12 +11,12 @@
 from reedmount.core.actors import Timer
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import ZERO
-from reedmount.core.ports import Listed
+from reedmount.core.ports import ListedServer
 from reedmount.core.switch import Switch
 from reedmount.net.loop import Loop
 from reedmount.pool.bands import Bands, BandSettings
-from reedmount.pool.claims import Claim, Word
-from reedmount.pool.pool import SLICE, Change, Entry, Past, Pool, Slice
+from reedmount.pool.claims import Claim, ClaimState
+from reedmount.pool.pool import SLICE, Change, Entry, ExpiryPolicy, Pool, Slice
 from reedmount.pool.rule import Rule
 
 BETWEEN_SLICES = timedelta(milliseconds=1)
@@ -28,10 +28,10 @@
 class PoolSettings:
     """What the operator says of the pool, whatever its sources."""
 
-    past: Past = Past.DRAIN
-    start_for: timedelta = timedelta(seconds=10)
-    gone_for: timedelta = timedelta(minutes=10)
-    unranked: tuple[int, int] = (0, 1)  # priority and weight of servers that no source ranks
+    expiry_policy: ExpiryPolicy = ExpiryPolicy.DRAIN
+    startup_window: timedelta = timedelta(seconds=10)
+    forget_after: timedelta = timedelta(minutes=10)
+    default_rank: tuple[int, int] = (0, 1)  # priority and weight of servers that no source ranks
     transport: str = "tcp"  # of servers of which no source says it
     bands: BandSettings = BandSettings()
 
@@ -43,8 +43,8 @@
         self.loop, self._switch, self.settings = loop, switch, settings
         now = loop.clock.now()
         self.pool = Pool(
-            now, sources, settings.past, settings.start_for, settings.gone_for, settings.unranked,
-            settings.transport,
+            now, sources, settings.expiry_policy, settings.startup_window, settings.forget_after,
+            settings.default_rank, settings.transport,
         )  # fmt: skip
         self.bands = Bands(settings.bands)
         self._version = 0
@@ -57,22 +57,22 @@
         self._changed: list[Callable[[Entry, bool], None]] = []
         switch.on_attempt = self._attempt
 
-    def settle(self, settings: PoolSettings) -> None:
+    def apply_settings(self, settings: PoolSettings) -> None:
         """Go by other settings from now on."""
         self.settings = settings
-        self.pool.past, self.pool.gone_for = settings.past, settings.gone_for
-        self.pool.unranked, self.pool.transport = settings.unranked, settings.transport
+        self.pool.expiry_policy, self.pool.forget_after = settings.expiry_policy, settings.forget_after
+        self.pool.default_rank, self.pool.transport = settings.default_rank, settings.transport
         self.bands.settings = settings.bands
         self._job(self.pool.lapse(self.loop.clock.now()))
 
     # --- from the sources ---
 
     @property
-    def going_on_with(self) -> str:
+    def fallback_description(self) -> str:
         """What there is, for a line to the staff."""
         return f"{len(self.bands.members)} call servers"
 
-    def whole(
+    def full_update(
         self,
         source: str,
         claims: Sequence[Claim],
@@ -82,18 +82,18 @@
     ) -> None:
         """A complete, good answer. It is taken in slices; the next one waits until it is."""
         COUNTERS.add(f"pool.heard.{source}")
-        self._job(self.pool.whole(self.loop.clock.now(), source, claims, part, fresh_for, keep_for))
+        self._job(self.pool.full_update(self.loop.clock.now(), source, claims, part, fresh_for, keep_for))
 
-    def news(self, source: str, claims: Sequence[Claim]) -> None:
+    def partial_update(self, source: str, claims: Sequence[Claim]) -> None:
         """Word of single servers: it waits for nothing, as it may be of a drain."""
         COUNTERS.add(f"pool.heard.{source}")
-        self._tell(self.pool.news(self.loop.clock.now(), source, claims))
+        self._tell(self.pool.partial_update(self.loop.clock.now(), source, claims))
         self._watch_time()
 
-    def failed(self, source: str, why: str, part: str = "") -> None:
+    def source_failed(self, source: str, why: str, part: str = "") -> None:
         """No good answer: nothing changes."""
         COUNTERS.add(f"pool.failed.{source}")
-        self.pool.failed(source, why, part)
+        self.pool.source_failed(source, why, part)
 
     def drop(self, source: str, part: str = "") -> None:
         """The operator has taken it away."""
@@ -110,9 +110,9 @@
         """Have somebody hear of each server whose state is another, and whether it is removed."""
         self._changed.append(hear)
 
-    def hear(self, held: Set[str], starts: Mapping[str, datetime]) -> None:
+    def apply_member_reports(self, held: Set[str], starts: Mapping[str, datetime]) -> None:
         """What other members saw, as far as it counts: whom to hold back, who is cold; each as a whole."""
-        self._tell(self.pool.hear(self.loop.clock.now(), held, starts))
+        self._tell(self.pool.apply_member_reports(self.loop.clock.now(), held, starts))
 
     # --- for the door ---
 
@@ -133,9 +133,9 @@
     def _seen(self, now: datetime, entry: Entry) -> dict[str, object]:
         words: dict[str, dict[str, object]] = {}
         for name, source in self.pool.sources.items():
-            word = source.word(now, entry.place)
-            if word is not Word.UNNAMED:
-                said = source.sayings[entry.place].values()
+            word = source.word(now, entry.endpoint)
+            if word is not ClaimState.UNNAMED:
+                said = source.sayings[entry.endpoint].values()
                 age = min(now - saying.said_at for saying in said)
                 names = sorted({saying.claim.name for saying in said})
                 words[name] = {"says": word.value, "age_s": _seconds(age), "name": names[0]}
@@ -174,14 +174,14 @@
         self._step(self._urgent)
         if not self._working and (self._urgent or self._jobs):
             self._working = True
-            self.loop.after(BETWEEN_SLICES, self._work)
+            self.loop.call_later(BETWEEN_SLICES, self._work)
 
     def _work(self) -> None:
         """One slice; the next one in a later turn, so that calls are not kept waiting."""
         self._step(self._urgent or self._jobs)
         self._working = bool(self._urgent or self._jobs)
         if self._working:
-            self.loop.after(BETWEEN_SLICES, self._work)
+            self.loop.call_later(BETWEEN_SLICES, self._work)
 
     def _step(self, jobs: deque[Iterator[Slice]]) -> None:
         """The next slice of the first of these; once it has only servers that stay, it waits its turn."""
@@ -239,9 +239,9 @@
                     log(f"{entry.server} ({entry.name}) leaves: {entry.rule.value}", "pool.leaves")
                 self._told[entry.server] = serving
             told.append(
-                Listed(
+                ListedServer(
                     server=entry.server,
-                    address=entry.place,
+                    address=entry.endpoint,
                     number=entry.number,
                     serving=serving,
                     removed=entry.server in gone,
@@ -253,7 +253,7 @@
             )
         self._version += 1
         COUNTERS.add("pool.changes", len(told))
-        self._switch.pool(self._version, i.ListKind.CHANGES, told)
+        self._switch.pool_changed(self._version, i.ListKind.CHANGES, told)
 
     # --- time ---
 
@@ -261,7 +261,7 @@
         if self._lapse is not None:
             self._lapse.cancel()
         due = self.pool.lapses_after(self.loop.clock.now())
-        self._lapse = None if due is None else self.loop.at(due, self._lapsed)
+        self._lapse = None if due is None else self.loop.call_at(due, self._lapsed)
 
     def _lapsed(self) -> None:
         self._job(self.pool.lapse(self.loop.clock.now()))
@@ -278,11 +278,11 @@
     def _watch_bands(self) -> None:
         """Look now and then, as long as there is more than one band."""
         if self._look is None and self.bands.several:
-            self._look = self.loop.after(self.settings.bands.press / 2, self._look_at_bands)
+            self._look = self.loop.call_later(self.settings.bands.pressure_time / 2, self._look_at_bands)
 
     def _look_at_bands(self) -> None:
         self._look = None
-        if self.bands.look(self.loop.clock.now(), self._switch.waiting):
+        if self.bands.look(self.loop.clock.now(), self._switch.oldest_wait):
             log(f"bands open now: {self.bands.open}", "bands")
             moved = self._moved()
             changes = [Change(entry) for entry in moved]
--- a/reedmount/sources/srv_reader.py
+++ b/reedmount/sources/srv_reader.py
@@ -6,10 +6,10 @@
 import dns.name
 
 from reedmount.config import ConfigError
-from reedmount.dns.cache import Bounds
-from reedmount.dns.query import Patience
+from reedmount.dns.cache import CacheLimits
+from reedmount.dns.query import QueryTimeouts
 from reedmount.dns.resolver import ResolverSettings
-from reedmount.dns.srv_lookup import Retry
+from reedmount.dns.srv_lookup import RetryPolicy
 from reedmount.dns.zone import TRANSPORTS
 from reedmount.sources.srv import SrvSettings
 from reedmount.tables import Table, numeric
@@ -29,23 +29,23 @@
     ipv6 = table.get("ipv6", bool, False)
     if ipv6 and ipv6_wants is not None:
         raise ConfigError(f"{table.path}.ipv6 needs {ipv6_wants}")
-    bounds = Bounds(
+    limits = CacheLimits(
         floor=table.seconds("ttl_floor_s", 1.0, 0.1, 3600.0),
         ceiling=table.seconds("ttl_ceiling_s", 300.0, 1.0, 604_800.0),
         entries=table.amount("cache_entries", int, 8192, 16, 1_000_000),
         memory=table.amount("cache_kib", int, 8192, 64, 1 << 20) << 10,
     )
-    if bounds.floor > bounds.ceiling:
+    if limits.floor > limits.ceiling:
         raise ConfigError(f"{table.path}.ttl_floor_s: above ttl_ceiling_s")
-    patience = Patience(
+    timeouts = QueryTimeouts(
         deadline=table.span("deadline_ms", 5000, 100, 60_000),
         first=table.span("try_ms", 400, 10, 10_000),
         tcp=table.span("tcp_ms", 2000, 10, 30_000),
     )
-    retry = Retry(table.span("retry_ms", 2000, 100), table.span("retry_most_ms", 10_000, 100))
+    retry = RetryPolicy(table.span("retry_ms", 2000, 100), table.span("retry_most_ms", 10_000, 100))
     return SrvSettings(
         names=tuple(_srv_name(text, table.path) for text in dict.fromkeys(names)),
-        resolver=ResolverSettings(tuple(dict.fromkeys(servers)), patience, bounds),
+        resolver=ResolverSettings(tuple(dict.fromkeys(servers)), timeouts, limits),
         keep_for=table.seconds("stale_s", 86_400.0, 0.0, 604_800.0),
         retry=retry,
         ipv6=ipv6,
--- a/reedmount/store/faulty.py
+++ b/reedmount/store/faulty.py
@@ -60,15 +60,15 @@
 
     def sync(self) -> None:
         """Do it, or say so and do nothing, or a part of it."""
-        faults, chance = self._disk.faults, self._disk.chance
-        if chance.random() >= faults.lying_sync:
+        faults, rng = self._disk.faults, self._disk.rng
+        if rng.random() >= faults.lying_sync:
             self._write(len(self._waiting))
             self._file.sync()
             return
         COUNTERS.add("store.faults.lying_sync")
-        if chance.random() < faults.torn_write:
+        if rng.random() < faults.torn_write:
             COUNTERS.add("store.faults.torn_write")
-            self._write(chance.randrange(len(self._waiting) + 1))
+            self._write(rng.randrange(len(self._waiting) + 1))
 
     def close(self) -> None:
         """Whole, as the system would have it some time later."""
@@ -86,7 +86,7 @@
 
     def __init__(self, disk: Disk, folder: Path, faults: Faults) -> None:
         self._disk, self._folder, self.faults = disk, folder, faults
-        self.chance = random.Random(faults.seed)
+        self.rng = random.Random(faults.seed)
         self._written = 0
         self._turn_bits()
 
@@ -107,7 +107,7 @@
 
     def read_at(self, name: str, at: int, size: int) -> bytes:
         """A part of it, or EIO."""
-        if self.chance.random() < self.faults.unreadable:
+        if self.rng.random() < self.faults.unreadable:
             COUNTERS.add("store.faults.unreadable")
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         return self._disk.read_at(name, at, size)
@@ -137,13 +137,13 @@
         files = [self._folder / name for name in self._disk.names() if name.endswith(".log")]
         files = [file for file in files if file.stat().st_size]
         for _ in range(self.faults.turned_bits if files else 0):
-            file = self.chance.choice(files)
+            file = self.rng.choice(files)
             with file.open("r+b") as opened:
-                at = self.chance.randrange(file.stat().st_size)
+                at = self.rng.randrange(file.stat().st_size)
                 opened.seek(at)
                 byte = opened.read(1)[0]
                 opened.seek(at)
-                opened.write(bytes([byte ^ 1 << self.chance.randrange(8)]))
+                opened.write(bytes([byte ^ 1 << self.rng.randrange(8)]))
             COUNTERS.add("store.faults.turned_bits")
 
 
--- a/reedmount/store/frame.py
+++ b/reedmount/store/frame.py
@@ -16,8 +16,8 @@
 
 MARKER = b"\xc5Rm\x1e"
 HEAD = struct.Struct("<4sIIQBH")
-KEY_MOST = 255  # bytes
-VALUE_MOST = 1 << 18
+MAX_KEY = 255  # bytes
+MAX_VALUE = 1 << 18
 SEGMENT_HEAD = struct.Struct("<8sI8sQQI")  # magic, version, store, first number, term, CRC-32C
 MAGIC = b"RMstore\x1a"
 VERSION = 1
@@ -65,7 +65,7 @@
 
 def encode(record: Record) -> bytes:
     """The bytes of a record. Raises ValueError where the key or the value is longer than allowed."""
-    if not 0 < len(record.key) <= KEY_MOST or len(record.value) > VALUE_MOST:
+    if not 0 < len(record.key) <= MAX_KEY or len(record.value) > MAX_VALUE:
         raise ValueError(f"a key of {len(record.key)} and a value of {len(record.value)} bytes")
     body = record.key + record.value
     head = HEAD.pack(MARKER, 0, len(body), record.number, record.kind, len(record.key))
@@ -80,7 +80,7 @@
     marker, check, length, number, kind, key_length = HEAD.unpack_from(data, at)
     if marker != MARKER:
         return Fault.MARKER
-    if not 0 < key_length <= KEY_MOST or not key_length <= length <= key_length + VALUE_MOST:
+    if not 0 < key_length <= MAX_KEY or not key_length <= length <= key_length + MAX_VALUE:
         return Fault.LENGTH
     end = at + HEAD.size + length
     if end > len(data):
--- a/reedmount/store/log.py
+++ b/reedmount/store/log.py
@@ -18,10 +18,10 @@
 from reedmount.store.disk import Disk
 from reedmount.store.frame import (
     HEAD,
-    KEY_MOST,
     MARKER,
+    MAX_KEY,
+    MAX_VALUE,
     SEGMENT_HEAD,
-    VALUE_MOST,
     Kind,
     Record,
     SegmentHead,
@@ -33,13 +33,13 @@
 )  # fmt: skip
 from reedmount.store.recovery import Examined, Gap, examine
 
-SEGMENT_MOST = 16 << 20  # bytes: the next record goes into another one
-BATCH_MOST = 1 << 20
-PENDING_MOST = 64 << 20  # bytes that are not on the disk: more is not taken
+MAX_SEGMENT = 16 << 20  # bytes: the next record goes into another one
+MAX_BATCH = 1 << 20
+MAX_PENDING = 64 << 20  # bytes that are not on the disk: more is not taken
 CHUNK = 256 << 10  # of a segment that is written anew, between two looks at the rest of the program
-AHEAD = HEAD.size + KEY_MOST + VALUE_MOST + len(MARKER)  # the longest record that may begin in it
+AHEAD = HEAD.size + MAX_KEY + MAX_VALUE + len(MARKER)  # the longest record that may begin in it
 NAME = re.compile(r"(\d{12})-([0-9a-f]{16})\.log", re.ASCII)
-LIVE_LEAST = 0.5  # of all bytes: below that the oldest segment is written anew
+MIN_LIVE = 0.5  # of all bytes: below that the oldest segment is written anew
 
 
 class Unsound(Exception):
@@ -100,7 +100,7 @@
 class Log:
     """One store. Keys are bytes; of each the last record counts."""
 
-    def __init__(self, disk: Disk, segment_most: int = SEGMENT_MOST) -> None:
+    def __init__(self, disk: Disk, segment_most: int = MAX_SEGMENT) -> None:
         self._disk, self._most = disk, segment_most
         self.store = os.urandom(8)
         self.term = 1
@@ -255,7 +255,7 @@
         return self._add(Kind.DELETE, key, b"") if key in self and self._has_room() else None
 
     def _has_room(self) -> bool:
-        if self._pending < PENDING_MOST:
+        if self._pending < MAX_PENDING:
             return True
         COUNTERS.add("store.not_taken")
         return False
@@ -292,7 +292,7 @@
                 head = encode_head(SegmentHead(self.store, self._queue[0][0].number, self.term))
             name = self._active.name
         parts, size = [], 0
-        while self._queue and size < BATCH_MOST:
+        while self._queue and size < MAX_BATCH:
             record, data = self._queue.popleft()
             self._out.append((record, data))
             parts.append(data)
@@ -352,7 +352,7 @@
     def wants_compaction(self) -> bool:
         """Whether the oldest segment is to be written anew: more than half of all bytes hold nothing, and the
         disk takes what is written."""
-        plenty = self.live < LIVE_LEAST * self.size and self._pending < PENDING_MOST // 2
+        plenty = self.live < MIN_LIVE * self.size and self._pending < MAX_PENDING // 2
         return plenty and self._oldest() is not None
 
     def _oldest(self) -> Segment | None:
--- a/reedmount/store/writer.py
+++ b/reedmount/store/writer.py
@@ -142,7 +142,7 @@
         if not self.failing:
             self.failing = True
             self._on_trouble(True)
-        self._timer = self._loop.after(TRY_AGAIN, self._again)
+        self._timer = self._loop.call_later(TRY_AGAIN, self._again)
 
     def _again(self) -> None:
         """One batch as a trial: ``failing`` stays until it has come through."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -15,7 +15,7 @@
 import click
 import dns.rdatatype
 
-from reedmount.net.connection import Address, address_of, text_of
+from reedmount.net.connection import Address, format_address, parse_address
 from standins.callers import Callers
 from standins.callserver import CallServer
 from standins.fleet.fleet import Fleet
@@ -44,7 +44,7 @@
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
         """Read and check it."""
         try:
-            place = address_of(str(value))
+            place = parse_address(str(value))
         except ValueError as error:
             self.fail(str(error), param, ctx)
         if not place[0].startswith(LOOPBACK):
@@ -92,11 +92,11 @@
     servers = [
         CallServer(address, transport, timedelta(seconds=1 / rate)) for address, transport in targets(names)
     ]
-    places = ", ".join(f"{server.transport}:{text_of(server.address)}" for server in servers)
-    click.echo(f"name server at {text_of(names.address)}; call servers at {places}")
+    places = ", ".join(f"{server.transport}:{format_address(server.address)}" for server in servers)
+    click.echo(f"name server at {format_address(names.address)}; call servers at {places}")
     turn([names, *servers])
     for server in servers:
-        click.echo(f"{server.transport}:{text_of(server.address)} {dict(server.counts)}")
+        click.echo(f"{server.transport}:{format_address(server.address)} {dict(server.counts)}")
     click.echo(f"name server {dict(names.counts)}")
 
 
--- a/standins/board.py
+++ b/standins/board.py
@@ -16,7 +16,7 @@
 
 import h11
 
-from reedmount.net.connection import text_of
+from reedmount.net.connection import format_address
 
 HOST = "127.0.0.1"
 
@@ -44,7 +44,7 @@
 
     def say(self, place: tuple[str, int], health: str, born_ms: int = 0, name: str = "") -> None:
         """One server's state: SERVING, DRAINING or DELETED."""
-        host = {"host": name or text_of(place), "dial": text_of(place), "block": place[1],
+        host = {"host": name or format_address(place), "dial": format_address(place), "block": place[1],
                 "health": health, "born_ms": born_ms}  # fmt: skip
         number = len(self.notices) + 1
         self.notices.append({"rev": number, "pool": {"whole": False, "hosts": [host]}})
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -56,12 +56,12 @@
         rate: float,
         seed: int = 1,
         hold: timedelta = timedelta(seconds=1),
-        number: Callable[[random.Random], str] = lambda chance: f"0{chance.randrange(10**6):06}",
+        number: Callable[[random.Random], str] = lambda rng: f"0{rng.randrange(10**6):06}",
     ) -> None:
         self.to, self.rate, self.hold, self._number = to, rate, hold, number
         self.calls: dict[str, Placed] = {}
         self.counts: Counter[str] = Counter()
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._due: list[tuple[datetime, int, Callable[[datetime], None]]] = []
         self._order = 0
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -73,7 +73,7 @@
     def start(self, now: datetime, span: timedelta) -> None:
         """Draw the instants of the calls of a span; it may be called again when that is over."""
         at = now
-        while (at := at + timedelta(seconds=self._chance.expovariate(self.rate))) < now + span:
+        while (at := at + timedelta(seconds=self._rng.expovariate(self.rate))) < now + span:
             self._later(at, self._call)
 
     def descriptors(self) -> list[int]:
@@ -132,7 +132,7 @@
 
     def _call(self, now: datetime) -> None:
         name = f"s{self._seed}c{len(self.calls) + 1}"
-        call = self.calls[name] = Placed(name, self._number(self._chance), now, f"z9hG4bK{name}")
+        call = self.calls[name] = Placed(name, self._number(self._rng), now, f"z9hG4bK{name}")
         call.invite = self._request(call, "INVITE", 1, body=name.encode()).encode()
         self.counts["calls"] += 1
         self._send(call.invite)
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -32,7 +32,7 @@
 
     key: str
     owner: str
-    life: int
+    boot_id: int
     seqs: dict[Phase, tuple[ShardId, int]] = field(default_factory=dict)
     stands: bool = False  # it was promised: its dialogs were durable, and its caller had its 200
     over: bool = False  # ended by its owner
@@ -45,7 +45,7 @@
     """One process."""
 
     name: str
-    life: int = 0
+    boot_id: int = 0
     replicas: Replicas | None = None
 
 
@@ -53,7 +53,7 @@
     """All of them. ``run`` lets time pass; ``problems`` says what broke."""
 
     def __init__(self, count: int, seed: int, faults: int = 1, rate: float = 8.0) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.names = [f"n{number}" for number in range(count)]
         self.faults, self.rate = faults, rate
         self.members = {name: Member(name) for name in self.names}
@@ -79,13 +79,13 @@
     def start(self, name: str) -> None:
         """A new life, with an empty memory and disk."""
         member = self.members[name]
-        member.life += 1
+        member.boot_id += 1
         self._open[name].clear()
-        member.replicas = Replicas(name, member.life, self.names, self.faults)
+        member.replicas = Replicas(name, member.boot_id, self.names, self.faults)
         for other in self.names:
             self._join(name, other)
         if self.rate:
-            self.after(self.chance.expovariate(self.rate), lambda: self._place(name, member.life))
+            self.after(self.rng.expovariate(self.rate), lambda: self._place(name, member.boot_id))
 
     def kill(self, name: str) -> None:
         """It is gone with all that it had."""
@@ -184,8 +184,8 @@
                 case Fenced():
                     self._fenced(name, output)
         for shard, owner in replicas.owners.items():
-            holder = self.terms.setdefault((shard, owner.copy.term), f"{name}/{self.members[name].life}")
-            if holder != f"{name}/{self.members[name].life}":
+            holder = self.terms.setdefault((shard, owner.copy.term), f"{name}/{self.members[name].boot_id}")
+            if holder != f"{name}/{self.members[name].boot_id}":
                 self.problems.append(f"{shard} is owned by {name} and {holder} in term {owner.copy.term}")
 
     def _send(self, sender: str, to: str, message: Message) -> None:
@@ -195,7 +195,7 @@
         self.messages += 1
         self.bytes += len(data)
         link = self._links[sender, to]
-        at = max(self._last[sender, to], self.now_s + self.chance.uniform(*WAY_S))  # in order, as TCP has it
+        at = max(self._last[sender, to], self.now_s + self.rng.uniform(*WAY_S))  # in order, as TCP has it
         self._last[sender, to] = at
 
         def arrive() -> None:
@@ -207,37 +207,37 @@
         self.after(at - self.now_s, arrive)
 
     def _write(self, name: str, shard: ShardId, seq: int) -> None:
-        life = self.members[name].life
+        boot_id = self.members[name].boot_id
 
         def written() -> None:
             replicas = self.members[name].replicas
-            if replicas is not None and self.members[name].life == life:
+            if replicas is not None and self.members[name].boot_id == boot_id:
                 replicas.kept(self.now, shard, seq)
                 self._carry_out(name)
 
-        self.after(self.chance.uniform(*DISK_S), written)
+        self.after(self.rng.uniform(*DISK_S), written)
 
     # --- calls ---
 
-    def _place(self, name: str, life: int) -> None:
+    def _place(self, name: str, boot_id: int) -> None:
         member = self.members[name]
-        if member.replicas is None or member.life != life or not self.rate:
+        if member.replicas is None or member.boot_id != boot_id or not self.rate:
             return
-        call = Call(f"{name}/{life}/{len(self.calls)}", name, life)
+        call = Call(f"{name}/{boot_id}/{len(self.calls)}", name, boot_id)
         self.calls[call.key] = self._open[name][call.key] = call
         self._step(call, Phase.TAKEN)
-        self.after(self.chance.uniform(0.02, 0.2), lambda: self._step(call, Phase.STANDS))
-        self.after(self.chance.expovariate(self.rate), lambda: self._place(name, life))
+        self.after(self.rng.uniform(0.02, 0.2), lambda: self._step(call, Phase.STANDS))
+        self.after(self.rng.expovariate(self.rate), lambda: self._place(name, boot_id))
 
     def _step(self, call: Call, phase: Phase) -> None:
         member = self.members[call.owner]
-        if member.replicas is None or member.life != call.life or call.released:
+        if member.replicas is None or member.boot_id != call.boot_id or call.released:
             return
         before = call.seqs.get(Phase(phase - 1)) if phase else None
         if phase and before is None:
             return
         shard = before[0] if before is not None else member.replicas.shard
-        seq = member.replicas.put(self.now, call.key, phase, b"x" * self.chance.randrange(200), shard)
+        seq = member.replicas.put(self.now, call.key, phase, b"x" * self.rng.randrange(200), shard)
         if not seq:
             return  # it was fenced: whoever has it now has this call as well
         call.seqs[phase] = (shard, seq)
@@ -252,7 +252,7 @@
             stands, over = call.seqs.get(Phase.STANDS), call.seqs.get(Phase.OVER)
             if call.owner == name and stands and stands[0] == shard and stands[1] <= seq and not call.stands:
                 call.stands = True
-                hold = self.chance.uniform(0.1, 6.0)
+                hold = self.rng.uniform(0.1, 6.0)
                 self.after(hold, lambda call=call: self._step(call, Phase.OVER))  # type: ignore[misc]
             if over and over[0] == shard and over[1] <= seq and not call.dropped and call.owner == name:
                 call.dropped = True
@@ -285,7 +285,7 @@
         for call in self.calls.values():
             member = self.members[call.owner]
             shard = call.seqs[Phase.STANDS][0] if Phase.STANDS in call.seqs else None
-            there = member.replicas is not None and member.life == call.life
+            there = member.replicas is not None and member.boot_id == call.boot_id
             kept = there and member.replicas is not None and shard in member.replicas.owners
             if call.stands and not call.over and not kept and not call.released:
                 found.append(call.key)
@@ -298,20 +298,20 @@
     def __init__(self, group: Group, me: str) -> None:
         self._group, self._me = group, me
 
-    def life_of(self, name: str) -> int | None:
+    def boot_id_of(self, name: str) -> int | None:
         """Of a member that is taken for alive."""
         if name == self._me:
-            return self._group.members[name].life
+            return self._group.members[name].boot_id
         pair = frozenset((name, self._me))
         since = self._group._apart_since.get(pair)
         if self._group.now_s < self._group._back_at.get(pair, 0.0):
             return None
         if since is not None and self._group.now_s - since > SEEN_AFTER_S:
             return None
-        return self._group.members[name].life
+        return self._group.members[name].boot_id
 
     @property
-    def may_decide(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether more than half are there."""
-        there = sum(self.life_of(name) is not None for name in self._group.names)
+        there = sum(self.boot_id_of(name) is not None for name in self._group.names)
         return 2 * there > len(self._group.names)
--- a/standins/faults/net.py
+++ b/standins/faults/net.py
@@ -15,7 +15,7 @@
 
 from reedmount.net.connection import Address
 
-HELD_MOST = 1000  # datagrams that a stalled link keeps; what comes beyond that is lost
+MAX_HELD = 1000  # datagrams that a stalled link keeps; what comes beyond that is lost
 
 
 @dataclass(slots=True)
@@ -132,7 +132,7 @@
             self.counts["lost"] += 1
             return
         if link.stalled:
-            if len(link.held) < HELD_MOST:
+            if len(link.held) < MAX_HELD:
                 link.held.append(data)
             return
         for _ in range(1 + (self._rng.random() < link.twice)):
--- a/standins/faults/rig.py
+++ b/standins/faults/rig.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from types import TracebackType
 
-from reedmount.net.connection import Address, text_of
+from reedmount.net.connection import Address, format_address
 from standins.callers import Callers
 from standins.callserver import CallServer
 from standins.faults.history import History
@@ -121,19 +121,19 @@
         self._ends = time.monotonic() + LONGEST_S
         self.names_at = NameServer((self._host(98), 0)) if by_name else None
         if self.names_at is not None:
-            more += NAMED.format(at=text_of(self.names_at.address))
+            more += NAMED.format(at=format_address(self.names_at.address))
             for name, proxy in proxies.items():
                 self.names_at.host(name, proxy[0], ttl=1)
             self.names_at.srv(
                 "_members._udp", *((0, 1, proxy[1], name) for name, proxy in proxies.items()), ttl=1
             )
-        ways = [] if by_name else [text_of(way) for way in proxies.values()]
+        ways = [] if by_name else [format_address(way) for way in proxies.values()]
         self._keys = {
             name: {
                 "name": name, "host": own[name][0], "members": members, "group": f"rig-{pid}",
                 "more": more.replace("NAME", name),
-                "advertise": text_of(proxies[name]), "roster": _quoted(self.names),
-                "tell": text_of(self._told_at), "ways_in": _quoted(ways),
+                "advertise": format_address(proxies[name]), "roster": _quoted(self.names),
+                "tell": format_address(self._told_at), "ways_in": _quoted(ways),
             }
             for name in self.names
         }  # fmt: skip
@@ -219,12 +219,12 @@
         self.processes[name].terminate()
 
     def _file(self, name: str, servers: Iterable[CallServer]) -> str:
-        named = _quoted(f"udp:{text_of(server.address)}" for server in servers)
+        named = _quoted(f"udp:{format_address(server.address)}" for server in servers)
         return FILE.format(servers=named, **self._keys[name])
 
     def leave_out(self, name: str, *servers: CallServer) -> None:
         """The file of one member names all call servers but these from now on."""
-        self._do("leave out", name, servers=[text_of(server.address) for server in servers])
+        self._do("leave out", name, servers=[format_address(server.address) for server in servers])
         self.processes[name].settle(self._file(name, [one for one in self.servers if one not in servers]))
 
     def _do(self, what: str, who: str, **more: object) -> None:
--- a/standins/faults/streams.py
+++ b/standins/faults/streams.py
@@ -14,7 +14,7 @@
 from standins.faults.net import Link
 
 CHUNK = 65536
-HELD_MOST = 1 << 20  # bytes that wait at one end: then no more is read from the other
+MAX_HELD = 1 << 20  # bytes that wait at one end: then no more is read from the other
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         """What to wait for."""
         reading = [
             half.source.fileno() for pair in self._pairs for half in pair
-            if self._passes(half) and len(half.waiting) < HELD_MOST
+            if self._passes(half) and len(half.waiting) < MAX_HELD
         ]  # fmt: skip
         return [listener.fileno() for listener in self._listeners.values()] + reading
 
@@ -96,7 +96,7 @@
         """Whether both ends are there still."""
         if not self._passes(half):
             return True
-        if len(half.waiting) < HELD_MOST:
+        if len(half.waiting) < MAX_HELD:
             try:
                 data = half.source.recv(CHUNK)
             except BlockingIOError:
--- a/standins/fleet/instance.py
+++ b/standins/fleet/instance.py
@@ -129,7 +129,7 @@
         if call is None or call.gone:
             return
         call.gone = True
-        self._event(i.CallerGone(name))
+        self._event(i.CallerAbandoned(name))
         if call.out is not None:
             self._end(name, call, call.attempts - 1, i.Outcome.CANCELLED, i.Cause.NONE)
         self.open.pop(name, None)
@@ -241,7 +241,7 @@
             return
         self.open.pop(name, None)
         delay = self.world.now_us - call.sent_us
-        self._event(i.CallStands(name, attempt, server.name, delay))
+        self._event(i.CallEstablished(name, attempt, server.name, delay))
         call.caller.stands(server)
 
     def _expire(self, life: int, name: int, attempt: int) -> None:
@@ -268,7 +268,7 @@
     def hear(self, server: Processor) -> None:
         """A call server tells its free lines, where a connection to it is open."""
         if self.alive and server.name in self.held:
-            self._event(i.Reports(((server.name, server.report),)))
+            self._event(i.LoadReports(((server.name, server.report),)))
 
 
 class _Waiting(SetUp):
--- a/standins/fleet/settings.py
+++ b/standins/fleet/settings.py
@@ -107,7 +107,7 @@
     """What an instance is told at its start."""
     server = day.server
     return i.Settings(
-        proxies=day.instances,
+        instances=day.instances,
         classes=tuple(
             i.CallClass(
                 kind.name, kind.worth, 0.25, round(kind.aim_s * 1e6), round(day.callers.give_up_s * 1e6),
--- a/standins/gossip/net.py
+++ b/standins/gossip/net.py
@@ -12,7 +12,7 @@
 from reedmount.core.clock import EPOCH
 from reedmount.members.outbox import Output, Send, Stood
 from reedmount.members.protocol import Protocol
-from reedmount.members.quorum import Roster, Standing
+from reedmount.members.quorum import Standing, VoterSet
 from reedmount.members.record import State, record_of
 from reedmount.members.settings import Timing
 from reedmount.members.view import Change
@@ -67,7 +67,7 @@
         self.rng = random.Random(seed)
         self.now_s = 0.0
         names = [f"n{number}" for number in range(count)]
-        self.roster = Roster(1, frozenset(names))
+        self.voters = VoterSet(1, frozenset(names))
         self.nodes = {
             name: Node(name, (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 7946))
             for number, name in enumerate(names)
@@ -84,16 +84,18 @@
 
     # --- processes ---
 
-    def start(self, names: Iterable[str] | None = None, rosters: tuple[Roster, ...] = ()) -> None:
+    def start(self, names: Iterable[str] | None = None, voter_sets: tuple[VoterSet, ...] = ()) -> None:
         """Start these, or all; they know the addresses of the roster, and nothing else."""
         for name in list(self.nodes) if names is None else list(names):
             node = self.nodes[name]
             node.lives += 1
             node.stopped, node.queue = False, []
             me = record_of(name, node.address, self.rng.getrandbits(32))
-            ways_in = tuple(other.address for other in self.nodes.values() if other.name not in self.guests)
+            seed_addresses = tuple(
+                other.address for other in self.nodes.values() if other.name not in self.guests
+            )
             node.protocol = Protocol(
-                self.timing, GROUP, me, rosters or (self.roster,), ways_in, self.rng.getrandbits(32)
+                self.timing, GROUP, me, voter_sets or (self.voters,), seed_addresses, self.rng.getrandbits(32)
             )
             self.carry_out(node, node.protocol.start(self.clock(node)))
 
@@ -204,7 +206,10 @@
                 case Send():
                     self._send(node, output)
                 case Change(old, new):
-                    changed = (new and new.state, new and new.life) != (old and old.state, old and old.life)
+                    changed = (new and new.state, new and new.boot_id) != (
+                        old and old.state,
+                        old and old.boot_id,
+                    )
                     if changed:
                         state = None if new is None else new.state
                         self.history.append(Seen(self.now_s, node.name, output.name, state))
--- a/standins/mutate.py
+++ b/standins/mutate.py
@@ -13,37 +13,37 @@
 MOST = 6  # mutations of one message
 
 
-def mutated(chance: random.Random, seeds: Sequence[bytes], count: int) -> Iterator[bytes]:
+def mutated(rng: random.Random, seeds: Sequence[bytes], count: int) -> Iterator[bytes]:
     """So many messages, each one of the seeds with one to six mutations, mostly few."""
     for _ in range(count):
-        data = bytearray(chance.choice(seeds))
-        for _ in range(min(MOST, 1 + int(chance.expovariate(1.0)))):
-            _mutate(chance, data, seeds)
+        data = bytearray(rng.choice(seeds))
+        for _ in range(min(MOST, 1 + int(rng.expovariate(1.0)))):
+            _mutate(rng, data, seeds)
         yield bytes(data)
 
 
-def _mutate(chance: random.Random, data: bytearray, seeds: Sequence[bytes]) -> None:
-    at = chance.randrange(len(data) + 1)
-    end = min(len(data), at + chance.randint(1, 12))
-    match chance.randrange(8):
+def _mutate(rng: random.Random, data: bytearray, seeds: Sequence[bytes]) -> None:
+    at = rng.randrange(len(data) + 1)
+    end = min(len(data), at + rng.randint(1, 12))
+    match rng.randrange(8):
         case 0:
             data[at:end] = b""
         case 1:
-            data[at:at] = chance.choice(TOKENS)
+            data[at:at] = rng.choice(TOKENS)
         case 2:
-            data[at:end] = chance.choice(TOKENS)
+            data[at:end] = rng.choice(TOKENS)
         case 3:
-            data[at:at] = data[at:end] * chance.choice((1, 2, 50))
+            data[at:at] = data[at:end] * rng.choice((1, 2, 50))
         case 4 if at < len(data):
-            data[at] ^= 1 << chance.randrange(8)
+            data[at] ^= 1 << rng.randrange(8)
         case 5:
             del data[at:]
         case 6:
-            other = chance.choice(seeds)
-            data[at:end] = other[(cut := chance.randrange(len(other))) : cut + chance.randint(1, 60)]
+            other = rng.choice(seeds)
+            data[at:end] = other[(cut := rng.randrange(len(other))) : cut + rng.randint(1, 60)]
         case _:
             lines = bytes(data).split(b"\n")
-            chance.shuffle(lines) if chance.random() < 0.3 else lines.insert(
-                chance.randrange(len(lines)), chance.choice(lines)
+            rng.shuffle(lines) if rng.random() < 0.3 else lines.insert(
+                rng.randrange(len(lines)), rng.choice(lines)
             )
             data[:] = b"\n".join(lines)
--- a/standins/nameserver.py
+++ b/standins/nameserver.py
@@ -35,7 +35,7 @@
 ORIGIN = "calls.example."
 HOST = "127.0.0.1"
 PORTS_TRIED = 20
-CHAIN_MOST = 16
+MAX_CHAIN = 16
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
         self.counts: Counter[str] = Counter()
         self.asked: list[Asked] = []
         self.dead = False
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self._plan: list[Step] = []
         self._due: list[tuple[datetime, int, Callable[[], None]]] = []
         self._order = 0
@@ -198,7 +198,7 @@
         reply = dns.message.make_response(asked.message, recursion_available=True)
         reply.flags |= dns.flags.AA
         name, kind = asked.name, asked.message.question[0].rdtype
-        for _ in range(CHAIN_MOST):
+        for _ in range(MAX_CHAIN):
             found = self.records.get((name, kind))
             if found is not None:
                 reply.answer.append(found)
@@ -457,7 +457,7 @@
 @fault
 def loses(server: NameServer, asked: Asked, words: dict[str, float]) -> list[Sent]:
     """A share of the answers over UDP is lost."""
-    lost = not asked.over_tcp and server.chance.random() < words.get("share", 0.5)
+    lost = not asked.over_tcp and server.rng.random() < words.get("share", 0.5)
     return [] if lost else good(server, asked, words)
 
 
@@ -508,7 +508,7 @@
 @fault
 def garbage(server: NameServer, asked: Asked, words: dict[str, float]) -> list[Sent]:
     """Random bytes; in every second answer behind the right header."""
-    noise = server.chance.randbytes(server.chance.randrange(1, 400))
+    noise = server.rng.randbytes(server.rng.randrange(1, 400))
     head = asked.wire[:2] + b"\x81\x80\x00\x01\xff\xff\x00\x00\x00\x00" + asked.wire[12:]
     wire = head + noise if server.counts["did garbage"] % 2 else noise
     return [Sent(framed(asked, wire))]
--- a/standins/site.py
+++ b/standins/site.py
@@ -11,10 +11,10 @@
 from datetime import datetime, timedelta
 from pathlib import Path
 
-from reedmount.net.connection import text_of
+from reedmount.net.connection import format_address
 from reedmount.operate import Sources, serve_sip
 from reedmount.operator_file import read_operator
-from reedmount.pool.claims import Place
+from reedmount.pool.claims import Endpoint
 from standins.board import NoticeBoard
 from standins.callers import Callers
 from standins.callserver import CallServer
@@ -54,15 +54,15 @@
 class Referee:
     """Knows who was said to leave and when, and looks at what reached whom after that."""
 
-    left: dict[Place, list[tuple[datetime, datetime | None]]] = field(default_factory=dict)
+    left: dict[Endpoint, list[tuple[datetime, datetime | None]]] = field(default_factory=dict)
 
-    def leaves(self, now: datetime, place: Place) -> None:
+    def leaves(self, now: datetime, place: Endpoint) -> None:
         """A source has said so at this instant."""
         spans = self.left.setdefault(place, [])
         if not spans or spans[-1][1] is not None:
             spans.append((now, None))
 
-    def back(self, now: datetime, place: Place) -> None:
+    def back(self, now: datetime, place: Endpoint) -> None:
         """No source says so any more."""
         spans = self.left.get(place)
         if spans and spans[-1][1] is None:
@@ -71,7 +71,7 @@
     def late(self, servers: list[CallServer]) -> list[str]:
         """Set-ups that came when the server had been said to leave for too long."""
         return [
-            f"{text_of(server.address)}: {came - since} after the word"
+            f"{format_address(server.address)}: {came - since} after the word"
             for server in servers
             for since, until in self.left.get(server.address, ())
             for came in server.invites
@@ -111,8 +111,8 @@
             if dead:
                 name.kill()
         self.file = folder / "site.toml"
-        listed = f'board = "{text_of(self.board.address)}"\n' if board else ""
-        addresses = ", ".join(f'"{text_of(name.address)}"' for name in self.names)
+        listed = f'board = "{format_address(self.board.address)}"\n' if board else ""
+        addresses = ", ".join(f'"{format_address(name.address)}"' for name in self.names)
         self.file.write_text(
             FILE.format(cold_s=cold_s, pool=listed + pool, srv=SRV, name_servers=addresses, more=more)
         )
@@ -162,7 +162,7 @@
         self.board.say(server.address, "SERVING")
         self.referee.back(self.now, server.address)
 
-    def serving(self) -> set[Place]:
+    def serving(self) -> set[Endpoint]:
         """Where calls may go, as the pool has it."""
         return {place for place, entry in self.host.pool.entries.items() if entry.serves}
 
--- a/standins/soak/board.py
+++ b/standins/soak/board.py
@@ -40,8 +40,8 @@
 class Board:
     """It tells each border controller by the port that this one polls at."""
 
-    def __init__(self, history: History, chance: random.Random) -> None:
-        self.history, self._chance = history, chance
+    def __init__(self, history: History, rng: random.Random) -> None:
+        self.history, self._rng = history, rng
         self.notices: list[Notice] = []
         self.mood = Mood.WELL
         self.well_since = 0.0
@@ -83,7 +83,7 @@
             self.well_since = self.history.now
         if mood is not Mood.SLOW:
             for writer in list(self._writers):
-                if mood in (Mood.CLOSED, Mood.FAILING) or self._chance.random() < 0.5:
+                if mood in (Mood.CLOSED, Mood.FAILING) or self._rng.random() < 0.5:
                     writer.transport.abort()
         self._wake()
 
@@ -143,7 +143,7 @@
             except TimeoutError:
                 break
         if self.mood is Mood.SLOW:
-            await asyncio.sleep(self._chance.uniform(0.3, 1.2))
+            await asyncio.sleep(self._rng.uniform(0.3, 1.2))
         body = json.dumps(self._body(node, after)).encode()
         answer = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         data = answer.encode() + body
--- a/standins/soak/callserver.py
+++ b/standins/soak/callserver.py
@@ -162,7 +162,7 @@
     number: int
     nodes: list[str]
     history: History
-    chance: random.Random
+    rng: random.Random
     manners: Manners = field(default_factory=Manners)
     hold_s: tuple[float, float] = (0.4, 6.0)
     work_s: tuple[float, float] = (0.005, 0.08)
@@ -251,7 +251,7 @@
     def reset_some(self) -> None:
         """Reset one of the connections, whatever is open on it."""
         if self._streams and not self.silent:
-            self.chance.choice(self._streams).reset()
+            self.rng.choice(self._streams).reset()
 
     def close_idle(self) -> None:
         """Close the connections on which no set-up is open."""
@@ -296,7 +296,7 @@
 
     def accepted(self, stream: ServerStream) -> None:
         """A connection is up: the state of the lines comes first on it, then what was not heard before."""
-        if self.chance.random() < self.manners.early_close:
+        if self.rng.random() < self.manners.early_close:
             stream.reset()
             return
         self._streams.append(stream)
@@ -368,11 +368,11 @@
         stream.open_setups.add(name)
         self._out[name] = attempt
         self.history.follow(name, f"{self.name} got it on {stream.number}")
-        delay = self.chance.uniform(*self.work_s)
+        delay = self.rng.uniform(*self.work_s)
         self._loop.call_later(delay, self._answer, stream, message, attempt)
 
     def _answer(self, stream: ServerStream, message: Message, attempt: Attempt) -> None:
-        name, draw = message.call_id, self.chance.random()
+        name, draw = message.call_id, self.rng.random()
         if self.state is State.HUNG:
             self._loop.call_later(0.05, self._answer, stream, message, attempt)
             return
@@ -394,7 +394,7 @@
 
     def _refuse(self, stream: ServerStream, message: Message, attempt: Attempt) -> None:
         stream.open_setups.discard(message.call_id)
-        status, note = self.chance.choice(REFUSALS)
+        status, note = self.rng.choice(REFUSALS)
         attempt.never_ran = status in NEVER_RAN
         self._ended(message.call_id, clean=True)
         stream.say(wire.answer(message, status, note=note))
@@ -403,7 +403,7 @@
         stream.reset()
 
     def _answer_late(self, stream: ServerStream, message: Message, attempt: Attempt) -> None:
-        self._loop.call_later(self.chance.uniform(0.3, 3.0), self._stand_late, stream, message, attempt)
+        self._loop.call_later(self.rng.uniform(0.3, 3.0), self._stand_late, stream, message, attempt)
 
     def _stand_late(self, stream: ServerStream, message: Message, attempt: Attempt) -> None:
         if not self.silent and stream.open:
@@ -414,20 +414,20 @@
         name, manners = message.call_id, self.manners
         attempt.body_given = f"{name}\r\nc=IN IP4 127.0.0.1 {self.name}\r\n".encode()
         data = wire.answer(message, 200, attempt.body_given)
-        draw = self.chance.random()
+        draw = self.rng.random()
         if draw < manners.cut_short + manners.noise:
             self._ended(name)
         if draw < manners.cut_short:
             stream.say(data[: len(data) // 2])
-            if self.chance.random() < 0.5:
+            if self.rng.random() < 0.5:
                 stream.reset()
             return
         draw -= manners.cut_short
         if draw < manners.noise:
-            stream.say(bytes(self.chance.randrange(256) for _ in range(200)) + b"\r\n\r\n")
+            stream.say(bytes(self.rng.randrange(256) for _ in range(200)) + b"\r\n\r\n")
             return
         draw -= manners.noise
-        if self.chance.random() < manners.pieces:
+        if self.rng.random() < manners.pieces:
             self._in_pieces(stream, data)
         else:
             stream.say(data)
@@ -436,9 +436,9 @@
             attempt.answered_whole_at = self.history.now
             stream.answered.append(attempt)
         if draw < manners.twice:
-            self._loop.call_later(self.chance.uniform(0, 0.02), stream.say, data)
+            self._loop.call_later(self.rng.uniform(0, 0.02), stream.say, data)
         standing = Standing(name, stream)
-        standing.ends = self._loop.call_later(self.chance.uniform(*self.hold_s), self._end, name)
+        standing.ends = self._loop.call_later(self.rng.uniform(*self.hold_s), self._end, name)
         self.standing[name] = standing
         self.history.follow(name, f"{self.name} answered it")
 
@@ -452,7 +452,7 @@
         if stream.writing or self.silent:
             stream.say(data)
             return
-        first, second = sorted(self.chance.sample(range(1, len(data)), 2))
+        first, second = sorted(self.rng.sample(range(1, len(data)), 2))
         stream.piece(data[:first])
         self._loop.call_later(PIECE_GAP_S, stream.piece, data[first:second])
         self._loop.call_later(2 * PIECE_GAP_S, stream.finish, data[second:])
@@ -465,7 +465,7 @@
         standing = self.standing.pop(name, None)
         if standing is None:
             return
-        cause = wire.CALL_ENDED if self.chance.random() < 0.9 else wire.CALL_CUT
+        cause = wire.CALL_ENDED if self.rng.random() < 0.9 else wire.CALL_CUT
         self._over(name)
         self._unheard[name] = cause
         others = [stream for stream in self._streams if stream.node == standing.stream.node]
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -94,10 +94,10 @@
 
     def __init__(
         self, node: str, address: tuple[str, int], classes: list[ClassOfCall], habits: Habits,
-        history: History, chance: random.Random,
+        history: History, rng: random.Random,
     ) -> None:  # fmt: skip
         self.node, self.address, self.classes, self.habits = node, address, classes, habits
-        self.history, self._chance = history, chance
+        self.history, self._rng = history, rng
         self.life = 0  # which start of the border controller serves now
         self.taking = False  # new connections may be opened
         self.calling = False  # calls may begin on open connections
@@ -193,7 +193,7 @@
         """Begin calls at random instants, whatever became of those before."""
         while True:
             rate = TAIL_CALLS_PER_S if self.tail else self.habits.calls_per_s
-            await asyncio.sleep(self._chance.expovariate(rate))
+            await asyncio.sleep(self._rng.expovariate(rate))
             self._look_at_idle()
             if self.calling:
                 self.spawn(self._call())
@@ -209,17 +209,17 @@
         stream = await self._stream()
         if stream is None:
             return
-        kind = self._chance.choice(self.classes)
+        kind = self._rng.choice(self.classes)
         longest = kind.deadline_ms
         wait_ms = self._wait_ms(longest)
         call = self._new_call(wait_ms / 1000)
-        await self._send(stream, call, kind, whole=self._chance.random() >= self.habits.in_pieces)
+        await self._send(stream, call, kind, whole=self._rng.random() >= self.habits.in_pieces)
 
     def _wait_ms(self, longest: int) -> int:
-        draw = self._chance.random()
+        draw = self._rng.random()
         if draw < SHORT_WAITS:
-            return min(longest, self._chance.choice(WAITS_MS))
-        return longest if draw < 0.5 else self._chance.randint(min(WAITS_MS[-1], longest), longest)
+            return min(longest, self._rng.choice(WAITS_MS))
+        return longest if draw < 0.5 else self._rng.randint(min(WAITS_MS[-1], longest), longest)
 
     async def _stream(self) -> ClientStream | None:
         """A kept connection, or a new one where clients may open one."""
@@ -228,13 +228,13 @@
             for stream in self._streams
             if stream.open and not stream.writing and stream.number not in self._tests
         ]
-        another = len(kept) < self.habits.connections or self._chance.random() < self.habits.new_connection
+        another = len(kept) < self.habits.connections or self._rng.random() < self.habits.new_connection
         if self.taking and another:
             return await self.connect()
-        return self._chance.choice(kept) if kept else None
+        return self._rng.choice(kept) if kept else None
 
     def _name(self) -> str:
-        return f"{self._chance.getrandbits(64):016x}"
+        return f"{self._rng.getrandbits(64):016x}"
 
     def _new_call(self, wait_s: float) -> CallRecord:
         name = self._name()
@@ -253,9 +253,9 @@
         call.wait_s = wait_ms / 1000
         data = wire.setup(call.name, kind.name, number, wait_ms, b"v=0\r\n")
         if not whole:
-            cut = self._chance.randrange(1, len(data))
+            cut = self._rng.randrange(1, len(data))
             stream.piece(data[:cut])
-            await asyncio.sleep(self._chance.choice(PIECE_GAPS_S))
+            await asyncio.sleep(self._rng.choice(PIECE_GAPS_S))
             if not stream.open:
                 return
             stream.finish(data[cut:])
@@ -268,11 +268,11 @@
         call.sent_at = stream.used_at = self.history.now
         stream.open_calls[call.name] = call
         stream.brought_setups = True
-        draw, habits = self._chance.random(), self.habits
+        draw, habits = self._rng.random(), self.habits
         if draw < habits.give_up_early:
-            self._loop.call_later(self._chance.uniform(0, 0.3), self._cancel, stream, call)
+            self._loop.call_later(self._rng.uniform(0, 0.3), self._cancel, stream, call)
         elif draw < habits.give_up_early + habits.close_early:
-            self._loop.call_later(self._chance.uniform(0, 0.3), stream.end, self._chance.random() < 0.5)
+            self._loop.call_later(self._rng.uniform(0, 0.3), stream.end, self._rng.random() < 0.5)
         self._loop.call_later(call.wait_s + 0.55, self._cancel, stream, call)
 
     def _cancel(self, stream: ClientStream, call: CallRecord) -> None:
@@ -309,17 +309,17 @@
             stream.send(wire.simple("ACK", name))
         if message.status == 200:
             self._stands(stream, call)
-        elif self._chance.random() < self.habits.redial_at_once and self.calling:
+        elif self._rng.random() < self.habits.redial_at_once and self.calling:
             self.spawn(self._call())
 
     def _stands(self, stream: ClientStream, call: CallRecord) -> None:
         if call.gone_at != NEVER:
             return
         stream.standing.add(call.name)
-        if self._chance.random() < self.habits.release:
-            self._loop.call_later(self._chance.uniform(0.1, 2.0), self._release, call)
-        if self._chance.random() < self.habits.drop_connection:
-            self._loop.call_later(self._chance.uniform(0.05, 0.5), stream.end)
+        if self._rng.random() < self.habits.release:
+            self._loop.call_later(self._rng.uniform(0.1, 2.0), self._release, call)
+        if self._rng.random() < self.habits.drop_connection:
+            self._loop.call_later(self._rng.uniform(0.05, 0.5), stream.end)
 
     def _release(self, call: CallRecord) -> None:
         stream = next((stream for stream in self._streams if stream.open and stream.life == self.life), None)
@@ -346,10 +346,10 @@
         """Crowds, rubbish, halves of requests and floods for a while."""
         until = self.history.now + seconds
         while self.history.now < until:
-            await asyncio.sleep(self._chance.uniform(0.02, 0.2))
+            await asyncio.sleep(self._rng.uniform(0.02, 0.2))
             if not self.taking:
                 continue
-            act = self._chance.choice((self._crowd, self._rubbish, self._half, self._flood, self._repeat))
+            act = self._rng.choice((self._crowd, self._rubbish, self._half, self._flood, self._repeat))
             self.spawn(act())
 
     async def _bad_stream(self) -> ClientStream | None:
@@ -377,7 +377,7 @@
         """The network to one of the clients is gone: it reads nothing, and its connection ends much later."""
         able = [stream for stream in self._streams if stream.open and not stream.writing]
         if able:
-            stream = self._chance.choice(able)
+            stream = self._rng.choice(able)
             self._streams.remove(stream)
             for call in stream.open_calls.values():
                 call.gone_at = min(call.gone_at, self.history.now)
@@ -385,12 +385,12 @@
             for name in stream.standing:
                 self.history.calls[name].client_ended_at = self.history.now  # it hears of no end
             stream.transport.pause_reading()
-            self._loop.call_later(self._chance.uniform(0.5, 5.0), stream.end, True)
+            self._loop.call_later(self._rng.uniform(0.5, 5.0), stream.end, True)
 
     async def _rubbish(self) -> None:
         stream = await self._bad_stream()
         if stream is not None:
-            stream.send(bytes(self._chance.randrange(256) for _ in range(300)))
+            stream.send(bytes(self._rng.randrange(256) for _ in range(300)))
             await asyncio.sleep(1)
             stream.end()
 
@@ -399,8 +399,8 @@
         if stream is not None:
             data = wire.setup(self._name(), "plain", "0" * 16, 1000, b"v=0\r\n")
             stream.send(data[: len(data) // 2])
-            await asyncio.sleep(self._chance.uniform(0, 0.5))
-            stream.end(reset=self._chance.random() < 0.5)
+            await asyncio.sleep(self._rng.uniform(0, 0.5))
+            stream.end(reset=self._rng.random() < 0.5)
 
     async def _flood(self) -> None:
         stream = await self._bad_stream()
--- a/standins/soak/plan.py
+++ b/standins/soak/plan.py
@@ -52,147 +52,147 @@
         server.heal()
 
 
-async def board_down(run: Run, chance: random.Random) -> None:
+async def board_down(run: Run, rng: random.Random) -> None:
     """Discovery is down for some seconds."""
-    mood = chance.choice([mood for mood in Mood if mood is not Mood.WELL])
+    mood = rng.choice([mood for mood in Mood if mood is not Mood.WELL])
     run.board.feel(mood)
-    await run.sleep(chance.uniform(1.5, 9.5))
+    await run.sleep(rng.uniform(1.5, 9.5))
     run.board.feel(Mood.WELL)
 
 
-async def vanish(run: Run, chance: random.Random) -> None:
+async def vanish(run: Run, rng: random.Random) -> None:
     """Servers vanish with their calls; discovery says so some time later, and others take their place."""
-    gone = run.some_servers(chance)
+    gone = run.some_servers(rng)
     for server in gone:
         server.vanish()
-    await _replace_after(run, gone, chance.uniform(0.5, 9.5))
+    await _replace_after(run, gone, rng.uniform(0.5, 9.5))
 
 
-async def die(run: Run, chance: random.Random) -> None:
+async def die(run: Run, rng: random.Random) -> None:
     """Processes die; discovery says so later, and new ones come."""
-    gone = run.some_servers(chance, most=2)
+    gone = run.some_servers(rng, most=2)
     for server in gone:
         server.die()
-    await _replace_after(run, gone, chance.uniform(0.3, 5.0))
+    await _replace_after(run, gone, rng.uniform(0.3, 5.0))
 
 
-async def hang(run: Run, chance: random.Random) -> None:
+async def hang(run: Run, rng: random.Random) -> None:
     """Processes stand still and go on."""
-    hung = run.some_servers(chance)
+    hung = run.some_servers(rng)
     for server in hung:
         server.hang()
-    await _heal_after(run, hung, chance.uniform(0.5, 6.0))
+    await _heal_after(run, hung, rng.uniform(0.5, 6.0))
 
 
-async def cut(run: Run, chance: random.Random) -> None:
+async def cut(run: Run, rng: random.Random) -> None:
     """The network to some servers is gone for a while."""
-    away = run.some_servers(chance)
+    away = run.some_servers(rng)
     for server in away:
         server.cut()
-    await _heal_after(run, away, chance.uniform(0.3, 6.0))
+    await _heal_after(run, away, rng.uniform(0.3, 6.0))
 
 
-async def drain(run: Run, chance: random.Random) -> None:
+async def drain(run: Run, rng: random.Random) -> None:
     """Servers drain and leave; others come."""
-    leaving = run.some_servers(chance, most=2)
+    leaving = run.some_servers(rng, most=2)
     run.say_state(leaving, "DRAINING")
     run.add_servers(len(leaving))
-    await run.sleep(chance.uniform(1.0, 6.0))
+    await run.sleep(rng.uniform(1.0, 6.0))
     for server in leaving:
         server.die()
     run.say_state(leaving, "DELETED")
 
 
-async def restart(run: Run, chance: random.Random) -> None:
+async def restart(run: Run, rng: random.Random) -> None:
     """One border controller after the other is restarted."""
-    for node in run.some_nodes(chance):
+    for node in run.some_nodes(rng):
         await run.restart(node)
-        await run.sleep(chance.uniform(0.0, 0.5))
+        await run.sleep(rng.uniform(0.0, 0.5))
 
 
-async def configure(run: Run, chance: random.Random) -> None:
+async def configure(run: Run, rng: random.Random) -> None:
     """New configurations in quick succession."""
-    for _ in range(chance.randint(1, 6)):
-        for node in run.some_nodes(chance):
-            await run.configure(node, moves=chance.random() < 0.5)
-        await run.sleep(chance.choice((0.01, 0.1, 1.0)))
+    for _ in range(rng.randint(1, 6)):
+        for node in run.some_nodes(rng):
+            await run.configure(node, moves=rng.random() < 0.5)
+        await run.sleep(rng.choice((0.01, 0.1, 1.0)))
 
 
-async def bad_clients(run: Run, chance: random.Random) -> None:
+async def bad_clients(run: Run, rng: random.Random) -> None:
     """Crowds, rubbish and floods at all border controllers."""
     for clients in run.clients.values():
-        clients.spawn(clients.misbehave(chance.uniform(1.0, 6.0)))
+        clients.spawn(clients.misbehave(rng.uniform(1.0, 6.0)))
 
 
-async def spoilt(run: Run, chance: random.Random) -> None:
+async def spoilt(run: Run, rng: random.Random) -> None:
     """Call servers spoil answers, lose them, or answer late."""
     for server in run.servers:
         manners = server.manners
-        manners.never, manners.late = chance.uniform(0, 0.05), chance.uniform(0, 0.08)
-        manners.cut_short, manners.noise = chance.uniform(0, 0.05), chance.uniform(0, 0.03)
-        manners.twice, manners.reset = chance.uniform(0, 0.2), chance.uniform(0, 0.05)
-        manners.early_close = chance.uniform(0, 0.2)
+        manners.never, manners.late = rng.uniform(0, 0.05), rng.uniform(0, 0.08)
+        manners.cut_short, manners.noise = rng.uniform(0, 0.05), rng.uniform(0, 0.03)
+        manners.twice, manners.reset = rng.uniform(0, 0.2), rng.uniform(0, 0.05)
+        manners.early_close = rng.uniform(0, 0.2)
 
 
-async def resets(run: Run, chance: random.Random) -> None:
+async def resets(run: Run, rng: random.Random) -> None:
     """Connections to call servers are reset or closed, whatever is open on them."""
-    for _ in range(chance.randint(5, 40)):
-        server = chance.choice(run.servers)
-        if chance.random() < 0.7:
+    for _ in range(rng.randint(5, 40)):
+        server = rng.choice(run.servers)
+        if rng.random() < 0.7:
             server.reset_some()
         else:
             server.close_idle()
-        await run.sleep(chance.uniform(0.01, 0.2))
+        await run.sleep(rng.uniform(0.01, 0.2))
 
 
-async def late_connections(run: Run, chance: random.Random) -> None:
+async def late_connections(run: Run, rng: random.Random) -> None:
     """New connections to servers come up late, again and again."""
-    for _ in range(chance.randint(2, 6)):
-        server = chance.choice(run.servers)
+    for _ in range(rng.randint(2, 6)):
+        server = rng.choice(run.servers)
         if not server.silent:
             server.cut()
-            await run.sleep(chance.uniform(0.1, 1.0))
+            await run.sleep(rng.uniform(0.1, 1.0))
             server.heal()
 
 
-async def replace_in_place(run: Run, chance: random.Random) -> None:
+async def replace_in_place(run: Run, rng: random.Random) -> None:
     """Machines vanish, and others with other names get their addresses before discovery says a word."""
-    gone = run.some_servers(chance, most=2)
+    gone = run.some_servers(rng, most=2)
     for server in gone:
         server.vanish()
-    await run.sleep(chance.uniform(0.2, 3.0))
+    await run.sleep(rng.uniform(0.2, 3.0))
     for server in gone:
         run.take_place_of(server)
-    await run.sleep(chance.uniform(0.2, 8.0))
+    await run.sleep(rng.uniform(0.2, 8.0))
     run.say_state(gone, "DELETED")
     run.say_new()
 
 
-async def idle_crowd(run: Run, chance: random.Random) -> None:
+async def idle_crowd(run: Run, rng: random.Random) -> None:
     """Many connect and say nothing."""
     for clients in run.clients.values():
-        clients.spawn(clients.idle_crowd(chance.randint(50, 400), chance.uniform(0.5, 4.0)))
+        clients.spawn(clients.idle_crowd(rng.randint(50, 400), rng.uniform(0.5, 4.0)))
 
 
-async def clients_vanish(run: Run, chance: random.Random) -> None:
+async def clients_vanish(run: Run, rng: random.Random) -> None:
     """Connections of clients fall silent and end much later."""
-    for _ in range(chance.randint(1, 8)):
-        chance.choice(list(run.clients.values())).go_silent()
-        await run.sleep(chance.uniform(0.05, 0.5))
+    for _ in range(rng.randint(1, 8)):
+        rng.choice(list(run.clients.values())).go_silent()
+        await run.sleep(rng.uniform(0.05, 0.5))
 
 
-async def bad_files(run: Run, chance: random.Random) -> None:
+async def bad_files(run: Run, rng: random.Random) -> None:
     """Files that cannot be taken, among good ones."""
-    for _ in range(chance.randint(1, 4)):
-        for node in run.some_nodes(chance):
-            await run.spoil_configuration(node, chance.choice(("", "{", "[]", "{}")))
-        await run.sleep(chance.uniform(0.01, 0.3))
+    for _ in range(rng.randint(1, 4)):
+        for node in run.some_nodes(rng):
+            await run.spoil_configuration(node, rng.choice(("", "{", "[]", "{}")))
+        await run.sleep(rng.uniform(0.01, 0.3))
 
 
-async def classes_change(run: Run, chance: random.Random) -> None:
+async def classes_change(run: Run, rng: random.Random) -> None:
     """Deadlines change under load."""
-    for node in run.some_nodes(chance):
-        await run.change_deadlines(node, chance.uniform(0.6, 1.0))
+    for node in run.some_nodes(rng):
+        await run.change_deadlines(node, rng.uniform(0.6, 1.0))
 
 
 DEEDS: dict[str, tuple[Deed, int]] = {
@@ -218,9 +218,9 @@
 
 def draw(seed: int) -> Plan:
     """Some faults at random instants; the same seed gives the same."""
-    chance = random.Random(f"plan {seed}")
+    rng = random.Random(f"plan {seed}")
     names = list(DEEDS)
     weights = [weight for _, weight in DEEDS.values()]
-    chosen = chance.choices(names, weights, k=chance.randint(*FAULTS))
-    steps = [Step(chance.uniform(FIRST_FAULT_S, LAST_FAULT_S), name, DEEDS[name][0]) for name in chosen]
+    chosen = rng.choices(names, weights, k=rng.randint(*FAULTS))
+    steps = [Step(rng.uniform(FIRST_FAULT_S, LAST_FAULT_S), name, DEEDS[name][0]) for name in chosen]
     return Plan(sorted(steps, key=lambda step: step.at))
