--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -64,7 +64,7 @@
 
     def __init__(self, seed: int, folder: Path, plan: Plan, nodes: int = NODES, crowd: bool = False) -> None:
         self.seed, self._folder, self._plan = seed, folder, plan
-        self._chance = random.Random(f"run {seed}")
+        self._rng = random.Random(f"run {seed}")
         self.history = History()
         self.board = Board(self.history, self._fork("board"))
         self.servers: list[CallServer] = []
@@ -75,7 +75,7 @@
         self._restarting: set[str] = set()
         self._crowd = crowd
         self._names = [f"n{number}" for number in range(1, nodes + 1)]
-        longest = plan.longest_ms or self._chance.choice(LONGEST_MS)
+        longest = plan.longest_ms or self._rng.choice(LONGEST_MS)
         self.classes = [ClassOfCall("plain", longest, True), ClassOfCall("once", min(longest, 1500), False)]
 
     def _fork(self, what: str) -> random.Random:
@@ -112,15 +112,15 @@
         for number, name in enumerate(self._names, 1):
             config = {
                 "name": name, "listen": f"{host}.{number}:{PORT}",
-                "seed": f"{self._chance.getrandbits(32):x}", "limits": {"sockets": SOCKETS},
+                "seed": f"{self._rng.getrandbits(32):x}", "limits": {"sockets": SOCKETS},
                 "board": await self.board.open_for(name), "known": self.board.known(name),
                 "settings": settings_for(self.classes, len(self._names)),
             }  # fmt: skip
             node = Node(name, (f"{host}.{number}", PORT), self._folder, config)
-            rate = self._plan.calls_per_s or self._chance.choice(CALLS_PER_S)
-            habits = Habits(rate, self._chance.choice(CONNECTIONS))
-            chance = self._fork(f"clients {name}")
-            clients = Clients(name, node.address, self.classes, habits, self.history, chance)
+            rate = self._plan.calls_per_s or self._rng.choice(CALLS_PER_S)
+            habits = Habits(rate, self._rng.choice(CONNECTIONS))
+            rng = self._fork(f"clients {name}")
+            clients = Clients(name, node.address, self.classes, habits, self.history, rng)
             self.nodes[name], self.clients[name] = node, clients
             node.start()
             clients.spawn(clients.run())
@@ -154,8 +154,8 @@
 
     def _new_server(self, ports: dict[str, int]) -> CallServer:
         number = len(self.servers) + 1
-        chance = self._fork(f"server {number}")
-        fresh = CallServer(f"s{number}", number, self._names, self.history, chance, at_ports=ports)
+        rng = self._fork(f"server {number}")
+        fresh = CallServer(f"s{number}", number, self._names, self.history, rng, at_ports=ports)
         fresh.busy = True  # until discovery names it
         self.servers.append(fresh)
         self._unsaid.append(fresh)
@@ -180,18 +180,18 @@
         return {"host": server.name, "dial": server.addresses, "site": "here", "class": "std",
                 "block": server.number, "health": state, "share": 4, "born_ms": born_ms}  # fmt: skip
 
-    def some_servers(self, chance: random.Random, most: int = 3) -> list[CallServer]:
+    def some_servers(self, rng: random.Random, most: int = 3) -> list[CallServer]:
         """Some of those that serve and are not about to leave, but not the last one."""
         able = [server for server in self.servers if server.state is State.SERVING and not server.busy]
-        count = min(chance.randint(1, most), max(0, len(able) - 1))
-        chosen = chance.sample(able, count)
+        count = min(rng.randint(1, most), max(0, len(able) - 1))
+        chosen = rng.sample(able, count)
         for server in chosen:
             server.busy = True
         return chosen
 
-    def some_nodes(self, chance: random.Random) -> list[Node]:
+    def some_nodes(self, rng: random.Random) -> list[Node]:
         """Some of the border controllers, in any order."""
-        return chance.sample(list(self.nodes.values()), chance.randint(1, len(self.nodes)))
+        return rng.sample(list(self.nodes.values()), rng.randint(1, len(self.nodes)))
 
     # --- what befalls border controllers ---
 
@@ -203,7 +203,7 @@
         clients = self.clients[node.name]
         self.history.tell(f"{node.name} gets SIGTERM")
         node.send(signal.SIGTERM)
-        come_for = self._chance.uniform(*CONNECTIONS_COME_S)
+        come_for = self._rng.uniform(*CONNECTIONS_COME_S)
         asyncio.get_running_loop().call_later(come_for, clients.stop_connecting)
         forced = not await node.ended_within(node.kill_after_s)
         clients.calling = clients.taking = False
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 import pytest
 
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN = 3
+MAX_KNOWN = 3
 
 
 @dataclass(frozen=True)
@@ -32,8 +32,8 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"KNOWN-RED.txt: not TEST | CAUSE | ISSUE: {line}")
         found.append(KnownFailure(*parts))
-    if len(found) > MOST_KNOWN:
-        raise pytest.UsageError(f"KNOWN-RED.txt: more than {MOST_KNOWN} lines")
+    if len(found) > MAX_KNOWN:
+        raise pytest.UsageError(f"KNOWN-RED.txt: more than {MAX_KNOWN} lines")
     return found
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -16,7 +16,7 @@
 ONCE = i.CallClass("once", 1.0, 0.25, 1_500 * MS, 9 * S, i.Effect.ONCE, None)
 
 SETTINGS = i.Settings(
-    proxies=4,
+    instances=4,
     classes=(SMALL, GREAT, ONCE),
     tenants=(i.Tenant("north", 10.0), i.Tenant("south", 10.0)),
     over_quota_share=0.1,
@@ -112,7 +112,7 @@
     def stands(self, call: int, delay_us: int = 50 * MS) -> None:
         attempt = self.out.pop(call)
         del self.owed[call]
-        self.feed(i.CallStands(call, attempt, self.sends[call][attempt].server, delay_us))
+        self.feed(i.CallEstablished(call, attempt, self.sends[call][attempt].server, delay_us))
 
     def ended(
         self,
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reedmount.core.background import BUDGET, JOBS_MOST, Background, Slices, Urgency
+from reedmount.core.background import BUDGET, MAX_JOBS, Background, Slices, Urgency
 from reedmount.core.checks import COUNTERS
 from reedmount.net.loop import Loop
 from tests.scenario import VirtualTime
@@ -37,7 +37,7 @@
 
 def test_the_most_urgent_goes_first_within_the_budget_of_a_turn(time: VirtualTime, loop: Loop) -> None:
     done: list[str] = []
-    for name, urgency in (("sweep", Urgency.SWEEP), ("probe", Urgency.PROBE), ("news", Urgency.NEWS)):
+    for name, urgency in (("sweep", Urgency.SWEEP), ("probe", Urgency.PROBE), ("news", Urgency.UPDATE)):
         loop.background.add(name, lambda name=name: long(time, done, name, 2), urgency, LATER)  # type: ignore[misc]
     turns = []
     while loop.background.waiting:
@@ -52,7 +52,7 @@
     done: list[str] = []
     loop.background.add("sweep", lambda: long(time, done, "sweep", 8), Urgency.SWEEP, LATER)
     for _ in range(4):
-        loop.soon(lambda: done.append("call"))
+        loop.call_soon(lambda: done.append("call"))
         loop.turn(timedelta(0))
     assert done == ["call", "sweep"] * 4
 
@@ -77,7 +77,7 @@
         raise RuntimeError("bad")
 
     loop.background.add("bad", bad, Urgency.PROBE, LATER)
-    cancelled = loop.background.add("gone", lambda: long(time, done, "gone", 1), Urgency.NEWS, LATER)
+    cancelled = loop.background.add("gone", lambda: long(time, done, "gone", 1), Urgency.UPDATE, LATER)
     loop.background.add("good", lambda: long(time, done, "good", 1), Urgency.SWEEP, LATER)
     assert cancelled is not None
     cancelled.cancel()
@@ -123,7 +123,7 @@
     time.seconds += 0.11
     with pytest.raises(RuntimeError):  # a debug build stops there; a release build goes on
         loop.turn(timedelta(0))
-    filled = [loop.background.add("many", lambda: None, Urgency.SWEEP, LATER) for _ in range(JOBS_MOST)]
+    filled = [loop.background.add("many", lambda: None, Urgency.SWEEP, LATER) for _ in range(MAX_JOBS)]
     time.seconds += 0.11
     loop._run_timers()  # due while there is no room
     for job in filled:
@@ -136,7 +136,7 @@
 
 def test_too_much_is_refused_and_counted(loop: Loop) -> None:
     background: Background = loop.background
-    jobs = [background.add("many", lambda: None, Urgency.SWEEP, LATER) for _ in range(JOBS_MOST + 1)]
+    jobs = [background.add("many", lambda: None, Urgency.SWEEP, LATER) for _ in range(MAX_JOBS + 1)]
     assert jobs[-1] is None and jobs[-2] is not None
     while background.waiting:
         background.run(False)
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -12,9 +12,9 @@
 
 from reedmount import interface as i
 from reedmount.core.checks import COUNTERS
-from reedmount.core.ports import Listed
+from reedmount.core.ports import ListedServer
 from reedmount.core.switch import Switch
-from reedmount.fronts.board import Board, BoardError, Pool, read_notices
+from reedmount.fronts.board import Board, BoardError, BoardList, read_notices
 from reedmount.net.ring import Ring
 from tests.scenario import HOST, Peer, Stage
 from tests.support import SETTINGS
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.news: list[tuple[int, i.ListKind, dict[str, str]]] = []
 
-    def pool(self, version: int, kind: i.ListKind, entries: list[Listed]) -> None:
+    def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
         states = {
             entry.server: "up" if entry.serving else "gone" if entry.removed else "drain" for entry in entries
         }
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.core = Recorder()
-        self.pool = Pool(self.core)
+        self.pool = BoardList(self.core)
         first = {"rev": 1, "notices": [notice(1, host("a"), host("b"), whole=True)]}
         self.pool.start(*read_notices(first))
         self.server: Peer = self.peer("board", "tcp")
@@ -207,14 +207,14 @@
 def test_known_events_reach_the_module_as_its_saved_list() -> None:
     stage = Stage()
     switch = Switch(stage.loop, SETTINGS, 1)
-    told: list[Listed] = []
+    told: list[ListedServer] = []
 
     class Side:
         listed = staticmethod(told.extend)
 
     switch.attach(Side())  # type: ignore[arg-type]
     known = {"rev": 1, "notices": [notice(1, host("a", born=1500), whole=True)]}
-    Pool(switch).start(*read_notices(known))
+    BoardList(switch).start(*read_notices(known))
     assert [(entry.server, entry.address, entry.number, entry.serving) for entry in told] == [
         ("a", ("127.0.0.1", 9), 2, True)
     ]
--- a/tests/test_cold_guard.py
+++ b/tests/test_cold_guard.py
@@ -50,14 +50,14 @@
     """One proxy: its own calls, the restart, idle time, then a burst. Also what stood at one cold server."""
     bench, gap_us, hanging = Bench(setup, seed=number), round(S / rate), case == "set-ups hang"
     bench.feed(pool(*(server(n) for n in range(servers))))
-    bench.now += gap_us * number // setup.proxies
+    bench.now += gap_us * number // setup.instances
     offer(bench, START, gap_us, list(range(servers)), number)
     stood = sum(sent.server == "s0" for sends in bench.sends.values() for sent in sends)
     restarted = tuple(server(n, START) for n in COLD)
     bench.feed(pool(*restarted, version=2, kind=i.ListKind.CHANGES))
     offer(bench, START + IDLE_US, gap_us, list(range(len(COLD), servers)), number)
     if case == "proxies restarted":
-        again = Bench(setup, seed=number + setup.proxies)
+        again = Bench(setup, seed=number + setup.instances)
         again.now, again.log = bench.now, list(bench.log)
         again.feed(pool(*restarted, *(server(n) for n in range(len(COLD), servers)), kind=i.ListKind.SAVED))
         bench = again
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize(("proxies", "servers", "rate"), FLEETS)
 def test_no_fleet_tips_a_cold_server(proxies: int, servers: int, rate: float, case: str) -> None:
     """Idle credit of one in each proxy was spent at once by a burst, above all with the others gone."""
-    setup = replace(SETTINGS, proxies=proxies)
+    setup = replace(SETTINGS, instances=proxies)
     days = [proxy_day(setup, servers, rate, number, case) for number in range(proxies)]
     warm_per_s = sum(stood for _, stood in days) / (TRAINED_US / S)
     for name in sorted(COLD_NAMES):
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("told_lines", [10.0, 1_000.0])
 def test_lines_told_do_not_raise_the_pace(told_lines: float) -> None:
     """A server with many lines and a slow processor was sent eight times its share."""
-    setup = replace(SETTINGS, proxies=1)
+    setup = replace(SETTINGS, instances=1)
     bench = Bench(setup)
     bench.feed(pool(*(server(n) for n in range(10))))
     bench.report("s0", lines=told_lines)
@@ -133,7 +133,7 @@
 
 def test_a_warming_server_that_is_wanted_gets_calls_from_a_fleet() -> None:
     """With calls held for it, the fleet sends at least a third of what it can do just after its start."""
-    setup = replace(SETTINGS, proxies=80)
+    setup = replace(SETTINGS, instances=80)
     days = [proxy_day(setup, 8, 3.0, number, "others gone") for number in range(80)]
     warm_per_s = sum(stood for _, stood in days) / (TRAINED_US / S)
     sent = sum(len(messages(bench, "s0", hanging=False)) for bench, _ in days)
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("proxies", [0, 1, 5_000])
 def test_a_pool_in_which_all_is_cold_and_nothing_known_is_used(proxies: int) -> None:
     """A fleet that knows nothing still finds its way; a lone proxy may not wait for ever."""
-    setup = replace(SETTINGS, proxies=proxies)
+    setup = replace(SETTINGS, instances=proxies)
     bench = Bench(setup)
     bench.now = START
     bench.feed(pool(*(server(n, START) for n in COLD)))
@@ -157,7 +157,7 @@
 
 def test_a_cold_server_that_does_what_it_is_sent_is_sent_more() -> None:
     """One that warmed early, or was little used before, stayed two thirds idle for all of the cold time."""
-    setup = replace(SETTINGS, proxies=1)
+    setup = replace(SETTINGS, instances=1)
     bench = Bench(setup)
     bench.feed(pool(server(0), server(1)))
     offer(bench, START, 40 * MS, [0, 1], 0)  # 12.5 a second each
@@ -171,7 +171,7 @@
     """Half a pool replaced at once, the rest full: each held call asked every cold server anew, by comparing
     whole servers. An event took 18 ms, so that a border controller with 50 held calls fell seconds behind."""
     servers, replaced, held = 24, 14, 50
-    bench = Bench(replace(SETTINGS, proxies=30))
+    bench = Bench(replace(SETTINGS, instances=30))
     bench.feed(pool(*(server(n) for n in range(servers))))
     offer(bench, START, 20 * MS, list(range(servers)), 0)
     for number in range(replaced, servers):
@@ -189,6 +189,6 @@
 
     bench.now += MS
     sys.setprofile(count)
-    bench.feed(i.Reports(()))
+    bench.feed(i.LoadReports(()))
     sys.setprofile(None)
     assert 0 < steps < 120 * held, "calls and returns of functions, for one event"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -54,10 +54,10 @@
     read = platform(tmp_path, {"GW_NAME": "n9", "GW_LISTEN": "127.0.0.1:77"})
     assert (read.name, read.listen, read.seed, read.known_last) == ("n9", ("127.0.0.1", 77), 0x8C1F, 1)
     assert read.connect_wait == timedelta(milliseconds=250) and read.idle_wait is None
-    assert read.settings.longest_pause_us == 2_000_000
+    assert read.settings.max_retry_after_us == 2_000_000
     more = platform(tmp_path, settings=allowed(conn_idle=9_000_000, max_retry_after=800_000))
-    assert more.idle_wait == timedelta(seconds=9) and more.settings.longest_pause_us == 800_000
-    assert platform(tmp_path, settings=allowed(retry_after=False)).settings.longest_pause_us == 0
+    assert more.idle_wait == timedelta(seconds=9) and more.settings.max_retry_after_us == 800_000
+    assert platform(tmp_path, settings=allowed(retry_after=False)).settings.max_retry_after_us == 0
     assert read.settings.classes[0].servers == (0, 1) and read.settings.may_cancel
     assert read.settings.release_wait_us == 330_000, "and what a message takes on its way"
 
@@ -139,7 +139,7 @@
     assert read.sip.class_of("123", None) == "quote-call"
     assert read.sip.class_of("0800123", "agency-call") == "agency-call"
     assert read.zone is not None and read.zone.is_file()
-    assert read.updates is not None and read.settings.proxies == 1
+    assert read.updates is not None and read.settings.instances == 1
 
 
 @pytest.mark.parametrize(
@@ -182,7 +182,7 @@
     read = read_operator(ROOT / "deploy" / "srv.toml")
     assert read.srv is not None and read.zone is None
     assert read.srv.names == (("_sip._udp.calls.example.", "udp"), ("_sip._tcp.calls.example.", "tcp"))
-    assert [(claim.place, claim.transport) for claim in read.fixed] == [(("127.0.0.2", 5070), "udp")]
+    assert [(claim.endpoint, claim.transport) for claim in read.fixed] == [(("127.0.0.2", 5070), "udp")]
     bare = [line for line in text.splitlines()
             if not line.partition(" =")[0].endswith(("_s", "_ms", "_bound", "_kib", "_entries", "ipv6"))
             or line.startswith(("aim", "give"))]  # fmt: skip
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -11,8 +11,8 @@
 import pytest
 
 from reedmount.core.checks import COUNTERS
-from reedmount.peers.membership import Peers
-from reedmount.peers.replication import CopiesHost
+from reedmount.peers.membership import Membership
+from reedmount.peers.replication import Replication
 from reedmount.replicas.messages import Entry, Old, Phase, ShardId, Term
 from reedmount.store.faulty import Faults, FaultyDisk, disk_of
 from reedmount.store.log import Log
@@ -54,8 +54,8 @@
         self.world, self.folder = World(), folder
         self.places = dict(zip(("n1", "n2", "n3"), _places(3), strict=True))
         self.plain = members(folder)
-        self.peers: dict[str, Peers] = {}
-        self.hosts: dict[str, CopiesHost] = {}
+        self.peers: dict[str, Membership] = {}
+        self.hosts: dict[str, Replication] = {}
         self.calls: dict[str, Calls] = {}
         self.disks: dict[str, FaultyDisk] = {}
         self.logs: dict[str, Log] = {}
@@ -66,17 +66,17 @@
     def start(self, name: str, faults: Faults | None = None) -> None:
         place = self.places[name]
         settings = replace(
-            self.plain, name=name, listen=place, advertise=place, ways_in=tuple(self.places.values())
+            self.plain, name=name, listen=place, advertise=place, seed_addresses=tuple(self.places.values())
         )
         loop = self.world.loop
-        peers = self.peers[name] = Peers(loop, settings)
+        membership = self.peers[name] = Membership(loop, settings)
         disk = disk_of(self.folder / name, faults or Faults(seed=9, unreadable=1e-9))
         assert isinstance(disk, FaultyDisk)
         self.disks[name] = disk
         log = self.logs[name] = Log(disk)
         log.open()
-        host = CopiesHost(
-            loop, peers, name, "calls", place, 1, log,
+        host = Replication(
+            loop, membership, name, "calls", place, 1, log,
             lambda durable, trouble: Writer(loop, log, disk, True, durable, trouble),
         )  # fmt: skip
         self.hosts[name], self.calls[name] = host, Calls()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from reedmount.core.clock import ZERO
 from reedmount.core.ports import Setup
 from reedmount.core.shutdown import ANSWERED_WITHIN
-from reedmount.net.connection import Connection, End
+from reedmount.net.connection import Connection, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.message import response
 from tests.scenario import HOST, VirtualTime, crowded, digits
@@ -43,7 +43,7 @@
     caller.close(reset=False)
     sent = COUNTERS["attempts.sent"]
     stage.play("wait 300\n server expect nothing")
-    assert COUNTERS["attempts.sent"] == sent and stage.switch.quiet
+    assert COUNTERS["attempts.sent"] == sent and stage.switch.is_idle
 
 
 @pytest.mark.parametrize("leaves", ["caller close", "caller close reset", "caller send CANCEL c1"])
@@ -57,7 +57,7 @@
         stage.play(f"wait 20\n caller send {SETUP}\n wait 100")
         assert stage.switch.unanswered == 1
         stage.play(leaves + "\n wait 5")
-        assert stage.switch.quiet
+        assert stage.switch.is_idle
         heard = []
         for _ in range(20):
             stage.wait(timedelta(milliseconds=50))
@@ -78,7 +78,7 @@
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n server send 504 INVITE")
     stage.play(f"server expect ACK c1\n wait 150\n {leaves}\n wait 400")
     stage.play("second expect nothing\n server expect nothing")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_an_answer_that_crosses_the_client_s_close_is_released_at_its_server(
@@ -87,15 +87,15 @@
     """Nobody had the call, and it kept its line until its server ended it."""
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1")
-    link, stands = next(iter(stage.callers._links)), stage.switch.stands
+    link, stands = next(iter(stage.callers._links)), stage.switch.established
 
     def close_first(name: str, attempt: int, description: bytes) -> bool:
-        link.connection.close(End.RESET)  # seen between the answer's coming and its passing on
+        link.connection.close(EndReason.RESET)  # seen between the answer's coming and its passing on
         return stands(name, attempt, description)
 
-    monkeypatch.setattr(stage.switch, "stands", close_first)
+    monkeypatch.setattr(stage.switch, "established", close_first)
     stage.play("server send 200 INVITE c1 | there\n server expect ACK c1\n server expect BYE c1")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_a_call_whose_cancel_crossed_its_answer_is_released_towards_both_sides() -> None:
@@ -113,7 +113,7 @@
         caller expect BYE c1
         caller send 200 BYE
     """)
-    assert stage.switch.quiet and stage.callers.quiet
+    assert stage.switch.is_idle and stage.callers.is_idle
 
 
 def test_a_set_up_that_lies_unread_keeps_its_connection_from_being_closed_as_idle() -> None:
@@ -135,7 +135,7 @@
 def test_a_connection_near_its_server_s_idle_close_is_used_no_more() -> None:
     """The close crossed the next set-up: it was reset, and the call waited 200 ms or failed for good."""
     stage = Platform("server")
-    stage.terms.idle_wait = timedelta(seconds=2)
+    stage.limits.idle_wait = timedelta(seconds=2)
     stage.play(STANDS + "wait 1400\n" + ANOTHER)
     server = stage.peers["server"]
     first, second = (server.came[id(heard)] for heard in server.heard if heard.method == "INVITE")
@@ -156,7 +156,7 @@
 def test_a_release_does_not_go_where_its_server_may_have_closed() -> None:
     """Written to a connection that the call server was closing, it was lost: the call stood on there."""
     stage = Platform("server")
-    stage.terms.idle_wait = timedelta(seconds=2)
+    stage.limits.idle_wait = timedelta(seconds=2)
     stage.play(STANDS + "wait 1600\n caller send BYE c1\n caller expect 200 c1\n server expect BYE c1")
     server = stage.peers["server"]
     assert server.came[id(server.heard[-1])] is not server.came[id(server.heard[0])]
@@ -174,7 +174,7 @@
 
 def test_connections_to_servers_have_a_bound_in_all_and_each_server_has_one() -> None:
     stage = Platform("server")
-    stage.terms.most = 2
+    stage.limits.max_connections = 2
     for name in ("c1", "c2", "c3", "c4"):
         stage.side.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
         stage.play(f"server expect INVITE {name}")
@@ -193,7 +193,7 @@
         peer.write(peer.request("OPTIONS", "t", {}, b"").encode())
     stage.settle()
     assert len(stage.callers._links) == 11
-    stage.callers.descriptors = stage.loop.watched + 14  # what it does not hear of, and a few to spare
+    stage.callers.descriptors = stage.loop.watched_count + 14  # what it does not hear of, and a few to spare
     stage.peer("second", "thin")
     stage.tell("server", "second")  # one more connection
     late = stage.peer("late", "thin", stage.callers.address)
@@ -219,7 +219,7 @@
         stage.play("server expect CANCEL c1\n server send 200 INVITE c1 | late\n server expect ACK c1")
         stage.play("server expect BYE c1")
     stage.play("wait 400\n server expect nothing\n second expect nothing\n caller expect nothing")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_a_release_by_a_server_where_it_was_given_up_ends_the_call_at_the_other_too() -> None:
@@ -234,7 +234,7 @@
         server expect BYE c1 reason=Q.850;cause=41
     """
     )
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_an_attempt_answered_after_it_was_given_up_is_released_once_the_call_is_over() -> None:
@@ -266,7 +266,7 @@
         caller expect BYE c1
         server expect BYE c1
     """)
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_a_release_lost_with_its_connection_comes_again_though_the_next_one_never_does() -> None:
@@ -315,10 +315,10 @@
         server expect INVITE c2
     """)
     stage.switch.lifecycle.end()
-    stage.loop.after(ANSWERED_WITHIN, stage.switch.answer_all)
+    stage.loop.call_later(ANSWERED_WITHIN, stage.switch.answer_all_pending)
     stage.play("wait 3250\n caller expect nothing\n wait 100\n caller expect 503 c1\n caller expect 500 c2")
     stage.play("server expect CANCEL\n server expect CANCEL\n wait 400\n server expect nothing")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_a_request_of_which_half_has_come_at_sigterm_is_answered(tmp_path: Path) -> None:
@@ -347,12 +347,12 @@
     stage.play("caller send OPTIONS t\n caller expect 200 t")
     link = next(iter(stage.callers._links))
     stage.switch.lifecycle.end()
-    assert stage.callers.quiet
+    assert stage.callers.is_idle
     while link.connection.idle:
         link.connection.send(b"x" * 65536)
-    assert not stage.callers.quiet
+    assert not stage.callers.is_idle
     stage.time.seconds += 4
-    assert stage.callers.quiet, "no longer than there is time"
+    assert stage.callers.is_idle, "no longer than there is time"
 
 
 def test_sighup_before_the_program_can_read_it_ends_nothing(tmp_path: Path) -> None:
@@ -384,7 +384,7 @@
         near, _ = server.accept()
     left: list[bool] = []
     loop = Loop(VirtualTime().clock)
-    made = Connection(loop, near, lambda connection: left.append(connection.left), lambda *_: None)
+    made = Connection(loop, near, lambda connection: left.append(connection.peer_finished), lambda *_: None)
     far.sendall(b"one")
     loop.turn(ZERO)
     far.sendall(b"two")
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -15,7 +15,7 @@
 
 from reedmount.dns.server import UpdateServer
 from reedmount.dns.update import Master, Policy
-from reedmount.dns.zone import ZoneError, load, servers
+from reedmount.dns.zone import ZoneError, load_zone, zone_servers
 from reedmount.sources.lists import ZoneSource
 from reedmount.sources.pool_host import PoolHost, PoolSettings
 from tests.scenario import HOST
@@ -42,7 +42,7 @@
 
 def master(folder: Path, **policy: object) -> Master:
     made = Policy(frozenset({"127.0.0.1"}), **policy)  # type: ignore[arg-type]
-    return Master(load(zone_file(folder), ORIGIN), made, lambda _: None)
+    return Master(load_zone(zone_file(folder), ORIGIN), made, lambda _: None)
 
 
 def ask(primary: Master, update: dns.message.Message, source: str = "127.0.0.1") -> str:
@@ -73,13 +73,13 @@
 def test_a_bad_zone_names_file_and_line(tmp_path: Path, text: str, fault: str) -> None:
     path = zone_file(tmp_path, text)
     with pytest.raises(ZoneError) as caught:
-        load(path, ORIGIN)
+        load_zone(path, ORIGIN)
     assert fault in str(caught.value) and str(path) in str(caught.value)
 
 
 def test_servers_come_from_srv_and_a_records_by_transport_priority_and_weight(tmp_path: Path) -> None:
     text = ZONE + "_sip._tcp IN SRV 5 3 5070 two\n IN SRV 5 1 {port} one\n IN SRV 9 1 1 lost\n"
-    found = servers(load(zone_file(tmp_path, text), ORIGIN), ["tcp", "udp"])
+    found = zone_servers(load_zone(zone_file(tmp_path, text), ORIGIN), ["tcp", "udp"])
     assert {name: item.transport for name, item in found.items()} == {
         "one.calls.example:5070": "tcp", "two.calls.example:5070": "tcp"
     }  # fmt: skip
@@ -90,12 +90,12 @@
     change = update()
     change.add("_sip._udp", 60, "SRV", "10 1 5071 two")
     assert ask(primary, change) == "NOERROR" and serial(primary) == 8
-    assert len(servers(primary.zone, ["udp"])) == 2
+    assert len(zone_servers(primary.zone, ["udp"])) == 2
     assert ask(primary, change) == "NOERROR" and serial(primary) == 8, "nothing changed the second time"
     change = update()
     change.delete("_sip._udp", "SRV", "10 1 5070 one")
     assert ask(primary, change) == "NOERROR" and serial(primary) == 9
-    assert list(servers(primary.zone, ["udp"])) == ["two.calls.example:5071"]
+    assert list(zone_servers(primary.zone, ["udp"])) == ["two.calls.example:5071"]
 
 
 def test_prerequisites_decide_with_their_own_rcodes(tmp_path: Path) -> None:
@@ -166,7 +166,7 @@
     stage.peer("server", "udp")
     stage.peer("fresh", "udp")
     path = zone_file(tmp_path, port=stage.peers["server"].port)
-    zone = load(path, ORIGIN)
+    zone = load_zone(path, ORIGIN)
     host = PoolHost(stage.loop, stage.switch, PoolSettings(), ("zone",))
     pool = ZoneSource(host, zone, ["udp"], path)
     pool.start()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,10 +11,10 @@
 import pytest
 
 from reedmount.core.lifecycle import Lifecycle, Need, Phase
-from reedmount.core.shutdown import Departure
-from reedmount.fronts.admin import DOOR_SOCKETS, VISITORS, Door
+from reedmount.core.shutdown import Shutdown
+from reedmount.fronts.admin import ADMIN_SOCKETS, MAX_ADMIN_CONNECTIONS, AdminServer
 from reedmount.net.loop import READ
-from reedmount.node import LANE_SOCKETS, room_for_callers
+from reedmount.node import SERVER_SOCKETS, room_for_callers
 from tests.scenario import HOST
 from tests.test_config import platform
 from tests.test_platform import SETUP, STANDS, Platform
@@ -27,10 +27,12 @@
 
     def __init__(self) -> None:
         super().__init__("server")
-        self.door = Door(self.loop, (HOST, 0), self.switch.lifecycle, lambda: self.switch.figures)
+        self.admin_server = AdminServer(
+            self.loop, (HOST, 0), self.switch.lifecycle, lambda: self.switch.call_counts
+        )
 
     def visit(self, data: bytes = b"") -> socket.socket:
-        sock = socket.create_connection(self.door.address)
+        sock = socket.create_connection(self.admin_server.address)
         sock.sendall(data)
         self.settle()
         return sock
@@ -92,11 +94,11 @@
 
 def test_silent_callers_crowd_out_nobody(stage: Building) -> None:
     """Some connect and say nothing for seconds, some amid a call: whoever has one to make is still heard."""
-    silent = [stage.visit(b"GET /adm" if n % 2 else b"") for n in range(3 * VISITORS)]
+    silent = [stage.visit(b"GET /adm" if n % 2 else b"") for n in range(3 * MAX_ADMIN_CONNECTIONS)]
     assert stage.call(HEALTH)[0] == 200
-    assert len(stage.door._visitors) <= VISITORS
+    assert len(stage.admin_server._visitors) <= MAX_ADMIN_CONNECTIONS
     stage.wait(timedelta(seconds=6))
-    assert not stage.door._visitors
+    assert not stage.admin_server._visitors
     for sock in silent:
         sock.close()
 
@@ -113,7 +115,7 @@
     for near, far in pairs:
         stage.loop.watch(near.fileno(), READ, lambda _, near=near: busy(near))  # type: ignore[misc]
         far.send(b"x")
-    caller = socket.create_connection(stage.door.address)
+    caller = socket.create_connection(stage.admin_server.address)
     caller.sendall(HEALTH)
     caller.setblocking(False)
     for _ in range(3):
@@ -123,7 +125,7 @@
                 order.append("door")
         except BlockingIOError:
             pass
-    assert "door" in order and stage.loop.watched > 100
+    assert "door" in order and stage.loop.watched_count > 100
     assert order.index("door") <= 100, "answered in the turn after its connection came"
     for sock in (caller, *(sock for pair in pairs for sock in pair)):
         sock.close()
@@ -163,7 +165,7 @@
         caller expect CLOSED
         late expect CLOSED
     """)
-    assert stage.switch.quiet and stage.post("resume") == 200
+    assert stage.switch.is_idle and stage.post("resume") == 200
     stage.play("caller send OPTIONS t\n caller expect 200 t\n wait 2000\n caller expect nothing")
 
 
@@ -194,10 +196,10 @@
     link = next(iter(stage.callers._links))
     stage.wait(timedelta(seconds=1))
     now = stage.loop.clock.now()
-    assert link.settled(now, Departure(now - timedelta(seconds=3)))
+    assert link.settled(now, Shutdown(now - timedelta(seconds=3)))
     caller = stage.peers["caller"]
     caller.write(caller.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode())
-    assert not link.settled(now, Departure(now - timedelta(seconds=3)))
+    assert not link.settled(now, Shutdown(now - timedelta(seconds=3)))
 
 
 def test_the_door_s_descriptors_are_set_aside(tmp_path: Path) -> None:
@@ -206,17 +208,17 @@
         limits = {"sockets": sockets}
         without = room_for_callers(platform(tmp_path, limits=limits))
         withal = room_for_callers(platform(tmp_path, limits=limits, control=f"{HOST}:9800"))
-        assert without - withal == DOOR_SOCKETS and withal >= sockets // 4
-        assert without + min(LANE_SOCKETS, sockets // 4) < sockets
+        assert without - withal == ADMIN_SOCKETS and withal >= sockets // 4
+        assert without + min(SERVER_SOCKETS, sockets // 4) < sockets
 
 
 def test_the_lifecycle_starts_when_all_is_there_and_its_end_cannot_be_undone(stage: Building) -> None:
     life, phases = Lifecycle(stage.loop.clock), []
     life.on_change(lambda: phases.append(life.phase))
     assert life.phase is Phase.STARTING
-    life.met(Need.LISTENING)
+    life.satisfy(Need.LISTENING)
     assert not life.ready
-    life.met(Need.SERVERS)
+    life.satisfy(Need.SERVERS)
     life.quiesce()
     life.quiesce()
     assert life.resume() and life.ready
--- a/tests/test_flag_and_route.py
+++ b/tests/test_flag_and_route.py
@@ -96,7 +96,7 @@
     bench = with_pool("a", "b")
     bench.report("a", free=0)
     assert bench.where(bench.call(first=1)) == "b"
-    bench.feed(i.Reports((("a", i.LoadReport(free_lines=3.0)),)))
+    bench.feed(i.LoadReports((("a", i.LoadReport(free_lines=3.0)),)))
     assert bench.where(bench.call(first=1)) == "a"
 
 
@@ -197,7 +197,7 @@
 
 def test_new_settings_hold_from_now_on() -> None:
     bench = with_pool("a")
-    bench.control.settle(replace(SETTINGS, max_attempts=1))
+    bench.control.apply_settings(replace(SETTINGS, max_attempts=1))
     call = bench.call(first=1)
     bench.ended(call, i.Outcome.NOT_SENT)
     assert call in bench.finals
@@ -215,7 +215,7 @@
         start = bench.now
         bench.ended(call, i.Outcome.UNREACHABLE)
         if turn < failures - 1:
-            bench.feed(i.CallerGone(call))
+            bench.feed(i.CallerAbandoned(call))
             bench.owed.pop(call)
     while bench.where(call) is None:
         bench.run_for(20 * MS)
@@ -237,7 +237,7 @@
     """
     sent = 0
     for seed in range(proxies):
-        bench = with_pool("a", "b", "c", seed=seed, proxies=proxies)
+        bench = with_pool("a", "b", "c", seed=seed, instances=proxies)
         bench.report("a", free=90.0, lines=100.0)
         for server in ("b", "c"):
             bench.report(server, free=300.0, lines=400.0)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -16,14 +16,14 @@
 
 from reedmount.config import ConfigError, read_platform
 from reedmount.core import fault_isolation
-from reedmount.core.checks import COUNTERS, SAID
+from reedmount.core.checks import COUNTERS, LOGGED_COUNTS
 from reedmount.core.clock import ZERO
 from reedmount.core.lifecycle import Lifecycle
 from reedmount.dns.update import Master, Policy
-from reedmount.dns.zone import ZoneError, load
-from reedmount.fronts.admin import Door, View
-from reedmount.fronts.board import Board, BoardError, Pool, read_notices
-from reedmount.fronts.handover import Word
+from reedmount.dns.zone import ZoneError, load_zone
+from reedmount.fronts.admin import AdminServer, View
+from reedmount.fronts.board import Board, BoardError, BoardList, read_notices
+from reedmount.fronts.handover import HandoverMessage
 from reedmount.operator_file import read_operator
 from reedmount.sip.message import SipError, parse_datagram
 from standins.mutate import mutated
@@ -44,7 +44,7 @@
     fault_isolation.STRICT = True
     yield
     fault_isolation.STRICT = False
-    SAID.clear()
+    LOGGED_COUNTS.clear()
 
 
 def sip_seeds(peer: Peer, kind: str) -> list[bytes]:
@@ -87,9 +87,9 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_sip_over_tcp(seed: int) -> None:
     stage = Sip("server")
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     seeds = sip_seeds(stage.peers["desk"], "tcp")
-    for wire in mutated(chance, seeds, 300):
+    for wire in mutated(rng, seeds, 300):
         with socket.create_connection(stage.front.endpoint.address) as sock:
             for begin in range(0, len(wire), max(1, len(wire) // 3)):
                 with contextlib.suppress(ConnectionError):  # closed: the rest is not wanted
@@ -124,7 +124,7 @@
     change.delete("_sip._udp", "SRV", "10 1 5070 one")
     change.present("one", "A")
     seeds = [change.to_wire(), dns.message.make_query(ORIGIN, "SOA").to_wire()]
-    primary = Master(load(zone_file(tmp_path), ORIGIN), Policy(frozenset({HOST})), lambda _: None)
+    primary = Master(load_zone(zone_file(tmp_path), ORIGIN), Policy(frozenset({HOST})), lambda _: None)
     replies = 0
     for wire in mutated(random.Random(1), seeds, 4000):
         replies += primary.answer(wire, HOST) is not None
@@ -134,19 +134,19 @@
 def test_the_door() -> None:
     stage = Sip()
     views: dict[str, View] = {"/v": lambda query: dict(query)}
-    door = Door(stage.loop, (HOST, 0), Lifecycle(stage.time.clock), lambda: {}, views)
+    admin_server = AdminServer(stage.loop, (HOST, 0), Lifecycle(stage.time.clock), lambda: {}, views)
     seeds = [
         b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n",
         b"GET /v?after=3&b=%ff HTTP/1.1\r\nHost: x\r\n\r\n",
         b"POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\nHost: x\r\n\r\nab",
     ]
     for wire in mutated(random.Random(2), seeds, 1000):
-        with socket.create_connection(door.address) as sock:
+        with socket.create_connection(admin_server.address) as sock:
             sock.sendall(wire)
             while stage.loop.turn(ZERO):
                 pass
     stage.time.seconds += 10
-    with socket.create_connection(door.address, 5) as sock:
+    with socket.create_connection(admin_server.address, 5) as sock:
         sock.sendall(seeds[1])
         stage.settle()
         assert sock.recv(100).startswith(b"HTTP/1.1 200")
@@ -174,7 +174,7 @@
     stage = Platform("a")
     with socket.create_server((HOST, 0)) as listener:
         listener.setblocking(False)
-        board = Board(stage.loop, listener.getsockname(), Pool(stage.switch))
+        board = Board(stage.loop, listener.getsockname(), BoardList(stage.switch))
         asked = 0
         for _ in range(60):
             stage.wait(timedelta(milliseconds=20))
@@ -194,9 +194,9 @@
         read_platform({"GW_CONFIG": str(tmp_path / "config.json")})
     stage = Platform("a")
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    stage.callers.twin.join(near)
-    heard: list[Word] = []
-    stage.callers.twin.on("held", heard.append)
+    stage.callers.handover_peer.join(near)
+    heard: list[HandoverMessage] = []
+    stage.callers.handover_peer.on("held", heard.append)
     seeds = [json.dumps({"what": "held", "count": 3}).encode(), DEEP]
     with far:
         far.send(DEEP)
@@ -206,7 +206,7 @@
                 stage.loop.turn(ZERO)
         far.send(seeds[0])
         stage.settle()
-        assert heard and heard[-1] == {"what": "held", "count": 3} and stage.callers.twin.there
+        assert heard and heard[-1] == {"what": "held", "count": 3} and stage.callers.handover_peer.there
 
 
 def test_the_thin_front() -> None:
@@ -259,4 +259,4 @@
     for wire in mutated(random.Random(6), seeds, 800):
         path.write_bytes(wire)
         with contextlib.suppress(ZoneError):
-            load(path, ORIGIN)
+            load_zone(path, ORIGIN)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -10,9 +10,9 @@
 from reedmount.members.knowledge import (
     HALF_LIFE,
     HELD_BACK,
-    OBSERVERS_MOST,
+    MAX_OBSERVERS,
+    MAX_SERVERS,
     OLDEST,
-    SERVERS_MOST,
     Belief,
     Fact,
     Knowledge,
@@ -98,18 +98,18 @@
 
 def test_what_is_kept_and_told_is_bounded_and_each_server_has_its_turn() -> None:
     knowledge = Knowledge("me")
-    servers = [Fact(f"s{n}", "n1", 0, ListState.SERVING) for n in range(SERVERS_MOST + 5)]
-    assert knowledge.told(START, servers) == SERVERS_MOST == len(knowledge)
+    servers = [Fact(f"s{n}", "n1", 0, ListState.SERVING) for n in range(MAX_SERVERS + 5)]
+    assert knowledge.told(START, servers) == MAX_SERVERS == len(knowledge)
     rumours, told = Rumours("me", 1), []
     rumours.told(START, servers)
     while len(rumours):
         waiting, facts = rumours.next_facts(START)
         told += [item.server for item in facts]
         rumours.sent(waiting, 7)
-    assert len(told) == len(set(told)) == SERVERS_MOST
+    assert len(told) == len(set(told)) == MAX_SERVERS
     many = Knowledge("me")
-    many.told(START, [fact(f"n{n}", age_ms=n * 10) for n in range(OBSERVERS_MOST + 9)])
+    many.told(START, [fact(f"n{n}", age_ms=n * 10) for n in range(MAX_OBSERVERS + 9)])
     (belief,) = many.beliefs(START, 99)
-    assert belief.observers == OBSERVERS_MOST
+    assert belief.observers == MAX_OBSERVERS
     many.forget(START + OLDEST + S)
     assert not len(many)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.conftest import MOST_KNOWN, KnownFailure, read_known
+from tests.conftest import MAX_KNOWN, KnownFailure, read_known
 
 
 def test_a_line_names_a_test_its_cause_and_its_issue() -> None:
@@ -19,6 +19,6 @@
 
 
 def test_there_may_be_three_lines_at_most() -> None:
-    read_known("a | b | c\n" * MOST_KNOWN)
+    read_known("a | b | c\n" * MAX_KNOWN)
     with pytest.raises(pytest.UsageError):
-        read_known("a | b | c\n" * (MOST_KNOWN + 1))
+        read_known("a | b | c\n" * (MAX_KNOWN + 1))
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -9,7 +9,7 @@
 import pytest
 
 from reedmount.core.checks import COUNTERS
-from reedmount.core.liveness import DEAD, LEAST_TESTED, QUIET, TEST_WAIT, Liveness
+from reedmount.core.liveness import DEAD_AFTER, MIN_PROBED, PROBE_AFTER_SILENCE, PROBE_TIMEOUT, Liveness
 from tests.scenario import HOST, Peer, crowded
 from tests.test_platform import ANOTHER, STANDS, Platform
 
@@ -32,34 +32,34 @@
 def test_a_peer_with_news_is_not_tested_and_never_dead() -> None:
     liveness = Liveness(T0)
     for step in range(1, 100):
-        now = T0 + step * QUIET * 0.9
-        assert not liveness.test_due(now) and not liveness.dead(now) and not liveness.suspect(now)
-        liveness.heard(now)
+        now = T0 + step * PROBE_AFTER_SILENCE * 0.9
+        assert not liveness.probe_due(now) and not liveness.is_dead(now) and not liveness.is_suspect(now)
+        liveness.record_received(now)
 
 
 def test_a_quiet_peer_is_tested_and_an_answer_settles_it() -> None:
     liveness = Liveness(T0)
-    now = T0 + QUIET
-    assert liveness.test_due(now)
-    liveness.asked(now)
-    assert not liveness.test_due(now + TEST_WAIT - MOMENT) and liveness.test_due(now + TEST_WAIT)
-    assert not liveness.suspect(now + TEST_WAIT - MOMENT) and liveness.suspect(now + TEST_WAIT)
-    liveness.heard(now + TEST_WAIT)
-    assert not liveness.suspect(now + 10 * TEST_WAIT) and not liveness.dead(T0 + 10 * DEAD)
+    now = T0 + PROBE_AFTER_SILENCE
+    assert liveness.probe_due(now)
+    liveness.record_probe(now)
+    assert not liveness.probe_due(now + PROBE_TIMEOUT - MOMENT) and liveness.probe_due(now + PROBE_TIMEOUT)
+    assert not liveness.is_suspect(now + PROBE_TIMEOUT - MOMENT) and liveness.is_suspect(now + PROBE_TIMEOUT)
+    liveness.record_received(now + PROBE_TIMEOUT)
+    assert not liveness.is_suspect(now + 10 * PROBE_TIMEOUT) and not liveness.is_dead(T0 + 10 * DEAD_AFTER)
 
 
 def test_silence_counts_only_while_tests_go_unanswered() -> None:
     """A process that stood still itself has heard nothing for long, and has asked nothing either."""
     liveness = Liveness(T0)
-    late = T0 + 2 * DEAD
-    assert not liveness.dead(late)
-    liveness.asked(late)
-    assert not liveness.dead(late + LEAST_TESTED - MOMENT) and liveness.dead(late + LEAST_TESTED)
+    late = T0 + 2 * DEAD_AFTER
+    assert not liveness.is_dead(late)
+    liveness.record_probe(late)
+    assert not liveness.is_dead(late + MIN_PROBED - MOMENT) and liveness.is_dead(late + MIN_PROBED)
 
 
 def test_dead_leaves_room_until_callers_have_to_be_told() -> None:
     """And is longer than the partitions that calls are to outlive."""
-    assert timedelta(seconds=7) < DEAD < TOLD_WITHIN - timedelta(milliseconds=500)
+    assert timedelta(seconds=7) < DEAD_AFTER < TOLD_WITHIN - timedelta(milliseconds=500)
 
 
 def fall_silent(server: Peer) -> None:
@@ -95,7 +95,7 @@
             stage.tell("server", port=full.getsockname()[1])
         took = until_told(stage)
     assert timedelta(seconds=7) < timedelta(seconds=took) < TOLD_WITHIN
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
     stage.play("caller expect BYE c1 reason=Q.850;cause=41")
 
 
@@ -104,7 +104,7 @@
     stage.play(STANDS)
     tests = COUNTERS["out.server.OPTIONS"]
     stage.play("wait 9000\n caller expect nothing")
-    assert not stage.switch.quiet and COUNTERS["out.server.OPTIONS"] > tests
+    assert not stage.switch.is_idle and COUNTERS["out.server.OPTIONS"] > tests
     stage.play(ENDS)
     stage.play("wait 2000\n server expect nothing")
 
@@ -126,7 +126,7 @@
     del server.take
     server.answers = True
     stage.play("wait 4000\n caller expect nothing")
-    assert not stage.switch.quiet
+    assert not stage.switch.is_idle
 
 
 def test_a_server_that_comes_back_after_its_calls_were_counted_as_over_is_told() -> None:
@@ -157,7 +157,7 @@
     assert len(server.rings) == 2
     stage.play("wait 4000")
     server.inbox.clear()
-    assert not stage.switch.quiet and COUNTERS["server.lane_silent"]
+    assert not stage.switch.is_idle and COUNTERS["server.lane_silent"]
     stage.play(ENDS)
 
 
@@ -166,7 +166,7 @@
     stage.play(STANDS + "wait 900")
     stage.time.seconds += 30
     stage.play("wait 1000\n caller expect nothing")
-    assert not stage.switch.quiet
+    assert not stage.switch.is_idle
 
 
 def report(free: int) -> str:
@@ -177,23 +177,23 @@
     """It took over so quickly that no connection was refused; only the lines in use give it away."""
     stage = Platform("server")
     stage.play(STANDS + "wait 2500\n server close reset\n wait 100")
-    assert not stage.switch.quiet, "a reset cuts no call by itself"
+    assert not stage.switch.is_idle, "a reset cuts no call by itself"
     stage.play(report(40) + "\n wait 300\n caller expect nothing\n wait 1000")
     stage.play("caller expect BYE c1 reason=Q.850;cause=41")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 @pytest.mark.parametrize("free", [39, 20])
 def test_a_server_whose_lines_are_in_use_keeps_its_calls_after_a_reset(free: int) -> None:
     stage = Platform("server")
     stage.play(STANDS + "wait 2500\n server close reset\n wait 100\n" + report(free) + "\n wait 2000")
-    assert not stage.switch.quiet
+    assert not stage.switch.is_idle
 
 
 def test_a_report_proves_nothing_while_no_connection_has_broken() -> None:
     stage = Platform("server")
     stage.play(STANDS + "wait 2500\n" + report(40) + "\n wait 2000")
-    assert not stage.switch.quiet
+    assert not stage.switch.is_idle
 
 
 def test_a_draining_server_that_takes_no_connection_keeps_the_calls_on_those_it_has() -> None:
@@ -213,9 +213,9 @@
         peer._retire(lane, "a test")
     peer._dial()
     stage.play("wait 1000")
-    assert not stage.switch.quiet
+    assert not stage.switch.is_idle
     stage.switch.server_lost("server", "a test")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 # --- clients that fall silent ---
@@ -241,7 +241,7 @@
         wait 1000
         other expect nothing
     """)
-    assert stage.switch.quiet and stage.callers.quiet
+    assert stage.switch.is_idle and stage.callers.is_idle
 
 
 def test_where_clients_confirm_no_release_each_is_sent_once() -> None:
@@ -287,6 +287,6 @@
         caller.write(caller.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode())
         stage.loop.turn(timedelta(0))
     stage.play("caller expect 200 t\n caller expect CLOSED")
-    watched = stage.loop.watched
+    watched = stage.loop.watched_count
     stage.play("wait 150")
-    assert stage.loop.watched <= watched and not stage.callers._links
+    assert stage.loop.watched_count <= watched and not stage.callers._links
--- a/tests/test_member_handover.py
+++ b/tests/test_member_handover.py
@@ -14,10 +14,10 @@
 from reedmount.members.outbox import Stood
 from reedmount.members.quorum import Standing
 from reedmount.members.view import Change
-from reedmount.net.connection import Address, text_of
+from reedmount.net.connection import Address, format_address
 from reedmount.net.loop import Loop
-from reedmount.peers.member_handover import Seat
-from reedmount.peers.membership import Peers
+from reedmount.peers.member_handover import MemberHandover
+from reedmount.peers.membership import Membership
 from reedmount.peers.platform import settings_of
 from standins.world import World
 from tests.scenario import HOST
@@ -39,7 +39,7 @@
 
     def hear(change: Change | Stood) -> None:
         if isinstance(change, Change) and change.new is not None:
-            text = f"{change.new.state.name.lower()} {change.new.life}"
+            text = f"{change.new.state.name.lower()} {change.new.boot_id}"
             if not seen or seen[-1] != text:
                 seen.append(text)
 
@@ -58,19 +58,19 @@
     """The second process of an upgrade ended at its start: the first one had the address."""
     world = World()
     places = _places(2)
-    old = Seat(world.loop, settings_of(list(map(text_of, places)), places[0], 0))
-    watcher = Peers(world.loop, settings_of(list(map(text_of, places)), places[1], 1))
+    old = MemberHandover(world.loop, settings_of(list(map(format_address, places)), places[0], 0))
+    watcher = Membership(world.loop, settings_of(list(map(format_address, places)), places[1], 1))
     seen: list[str] = []
     watcher.on_change(_lives(seen))
     assert world.until(lambda: bool(seen), timedelta(seconds=5))
-    heir = Seat(world.loop, settings_of(list(map(text_of, places)), places[0], 0))
+    successor = MemberHandover(world.loop, settings_of(list(map(format_address, places)), places[0], 0))
     world.run(timedelta(seconds=1))
-    assert old.peers is not None and heir.peers is None, "the first one has the clients still"
+    assert old.membership is not None and successor.membership is None, "the first one has the clients still"
     old.hand_over(True)
-    assert old.peers is None
+    assert old.membership is None
     assert world.until(lambda: len(seen) == 2, timedelta(seconds=3)), "a new life of the same member"
     world.run(timedelta(seconds=1))  # it has heard the others as well
-    heir.leave()
+    successor.leave()
     world.settle()
     old.hand_over(False)
     old.hand_over(False)
@@ -85,19 +85,19 @@
 
 def test_an_address_that_is_none_of_ours_is_said_at_the_start() -> None:
     with pytest.raises(OSError, match="assign"):
-        Seat(World().loop, settings_of(["192.0.2.1:7946"], ("192.0.2.1", 7946), 0))
+        MemberHandover(World().loop, settings_of(["192.0.2.1:7946"], ("192.0.2.1", 7946), 0))
 
 
 def test_an_upgrade_on_the_platform_is_one_member_with_a_new_life(tmp_path: Path) -> None:
     """With real processes: the second one has the address when it has the clients, not before."""
     loop = Loop(Clock())
     places = _places(2)
-    peers = list(map(text_of, places))
+    peers = list(map(format_address, places))
     settings = {**SETTINGS, "self_index": 0, "allowed": {"max_attempts": 4, "cancel": True, "peers": True}}
     platform(tmp_path, known={"rev": 1, "notices": [notice(1, whole=True)]}, settings=settings,
              peers=peers, peer_listen=peers[0])  # fmt: skip
     env = {"GW_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
-    watcher = Peers(loop, settings_of(peers, places[1], 1))
+    watcher = Membership(loop, settings_of(peers, places[1], 1))
     seen: list[str] = []
     watcher.on_change(_lives(seen))
     with started("--members", **env, GW_LISTEN=f"{HOST}:0") as old:
--- a/tests/test_member_reports.py
+++ b/tests/test_member_reports.py
@@ -7,12 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedmount.members.knowledge import HELD_BACK, WAY_MOST, Fact, Knowledge, ListState
+from reedmount.members.knowledge import HELD_BACK, MAX_WAY, Fact, Knowledge, ListState
 from reedmount.members.observation_gossip import Rumours
 from reedmount.members.record import State
 from reedmount.members.server_reports import Hearsay, Verdict
-from reedmount.net.connection import text_of
-from reedmount.pool.claims import Claim, Word
+from reedmount.net.connection import format_address
+from reedmount.pool.claims import Claim, ClaimState
 from reedmount.pool.pool import Change, Pool
 from reedmount.pool.rule import Rule
 from standins.gossip.net import START, Group, Way
@@ -46,7 +46,7 @@
     ear = Ear()
     verdict = ear.hear(START, leaving(SERVERS[0], "n1", age_ms=1000))
     assert verdict.held[SERVERS[0]].by == ("n1",)
-    assert verdict.due == START + HELD_BACK - S - WAY_MOST, "from when it was seen, not from when it was told"
+    assert verdict.due == START + HELD_BACK - S - MAX_WAY, "from when it was seen, not from when it was told"
     assert not ear.look(verdict.due).held and not ear.hearsay.doubted.names
     again = ear.hear(START + 20 * S, leaving(SERVERS[0], "n1"))
     assert list(again.held) == SERVERS[:1]
@@ -112,12 +112,12 @@
     assert told == 6, "times ceil(log10(8)), one word of one server"
 
 
-words = st.sampled_from([Word.SERVING, Word.DRAINING, Word.GONE])
+words = st.sampled_from([ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE])
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), words | st.booleans()), max_size=20))
 def test_hearsay_neither_adds_a_server_nor_keeps_one_and_its_end_is_no_start(
-    steps: list[tuple[int, Word | bool]],
+    steps: list[tuple[int, ClaimState | bool]],
 ) -> None:
     """Beside a pool that hears nothing: what serves is the same but for those held back."""
     pools = [Pool(START, ["list"]) for _ in range(2)]
@@ -126,14 +126,14 @@
     for number, step in steps:
         now += S
         place = ("192.0.2.1", 5060 + number)
-        if isinstance(step, Word):
+        if isinstance(step, ClaimState):
             for pool in pools:
-                pool.news(now, "list", [Claim(place, text_of(place), step)])
+                pool.partial_update(now, "list", [Claim(place, format_address(place), step)])
         else:
-            (held.add if step else held.discard)(text_of(place))
-            pools[1].hear(now, held, {})
+            (held.add if step else held.discard)(format_address(place))
+            pools[1].apply_member_reports(now, held, {})
         deaf, hearing = ({entry.server: entry for entry in pool.entries.values()} for pool in pools)
-        assert deaf.keys() == hearing.keys() and pools[0].vouched == pools[1].vouched
+        assert deaf.keys() == hearing.keys() and pools[0].vouched_count == pools[1].vouched_count
         for server, entry in hearing.items():
             assert entry.serves == (deaf[server].serves and server not in held)
             assert entry.ours == deaf[server].serves and entry.seen == deaf[server].seen
@@ -143,13 +143,16 @@
 def test_a_start_that_others_saw_is_told_to_the_core_and_its_end_is_not() -> None:
     pool = Pool(START, ["list"])
     place = ("192.0.2.1", 5060)
-    for _ in pool.whole(START, "list", [Claim(place, "a")]):
+    for _ in pool.full_update(START, "list", [Claim(place, "a")]):
         pass
-    server, entry = text_of(place), pool.entries[place]
+    server, entry = format_address(place), pool.entries[place]
     assert entry.started is None
-    assert pool.hear(START + S, set(), {server: START}) == [Change(entry)] and entry.started == START
-    assert pool.hear(START + 2 * S, set(), {server: START}) == []
-    assert pool.hear(START + 3 * S, set(), {"192.0.2.9:5060": START}) == [Change(entry)]
+    assert (
+        pool.apply_member_reports(START + S, set(), {server: START}) == [Change(entry)]
+        and entry.started == START
+    )
+    assert pool.apply_member_reports(START + 2 * S, set(), {server: START}) == []
+    assert pool.apply_member_reports(START + 3 * S, set(), {"192.0.2.9:5060": START}) == [Change(entry)]
     assert entry.started is None and entry.seen is None
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,20 +12,20 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from reedmount.core.checks import COUNTERS
-from reedmount.members.capacity_sharing import sharers
+from reedmount.members.capacity_sharing import sharing_instances
 from reedmount.members.damping import HALF_LIFE, Damping
 from reedmount.members.dissemination import Spread
 from reedmount.members.health import WORST, LocalHealth
 from reedmount.members.outbox import Outbox, Send
 from reedmount.members.prober import Round
-from reedmount.members.quorum import Count, Roster, Standing
+from reedmount.members.quorum import Count, Standing, VoterSet
 from reedmount.members.record import Record, State, record_of
 from reedmount.members.settings import Timing
 from reedmount.members.suspects import Suspects
 from reedmount.members.suspicion import Suspicion
 from reedmount.members.timer_queue import Dues
-from reedmount.members.view import RECORDS_MOST, View
-from reedmount.members.wire import DATAGRAM_MOST, HEAD, Kind, Message, WireError, group_of, read, write
+from reedmount.members.view import MAX_RECORDS, View
+from reedmount.members.wire import HEAD, MAX_DATAGRAM, Kind, Message, WireError, group_of, read, write
 from standins.gossip.net import START, Group, Way
 
 GROUP = group_of("fleet")
@@ -34,7 +34,7 @@
 
 
 def other(name: str = "n1", **changes: object) -> Record:
-    fields = {"incarnation": 0, "life": 1, "state": State.ALIVE, **changes}
+    fields = {"incarnation": 0, "boot_id": 1, "state": State.ALIVE, **changes}
     return Record(name, b"\x0a\0\0\2", 7946, **fields)  # type: ignore[arg-type]
 
 
@@ -53,7 +53,7 @@
 ) -> None:
     buckets = buckets[: len(buckets) // 4 * 4]
     data, sent = write(GROUP, Message(kind, 3, sender, b"12345678", "n9", buckets), news)
-    assert len(data) <= DATAGRAM_MOST
+    assert len(data) <= MAX_DATAGRAM
     got = read(GROUP, data)
     assert (got.kind, got.sender, got.records, got.buckets) == (kind, sender, news[:sent], buckets)
 
@@ -93,16 +93,16 @@
 
 @given(st.lists(claims, max_size=12), st.randoms())
 def test_tables_that_saw_the_same_are_equal_whatever_the_order(
-    claims: list[tuple[int, State, int]], chance: random.Random
+    claims: list[tuple[int, State, int]], rng: random.Random
 ) -> None:
-    made = [other(f"n{life}", incarnation=inc, state=state, life=life) for inc, state, life in claims]
+    made = [other(f"n{life}", incarnation=inc, state=state, boot_id=life) for inc, state, life in claims]
     views = []
     for _ in range(2):
         view = View("me", frozenset(f"n{n}" for n in range(3)), 600 * S)
         for record in made + made[:3]:  # some come twice
             view.take(START, record)
         views.append(view)
-        chance.shuffle(made)
+        rng.shuffle(made)
     one, two = views
     assert one.digest == two.digest and one.buckets == two.buckets
     assert sorted(r.rank for r in one) == sorted(r.rank for r in two)
@@ -112,9 +112,9 @@
 def test_a_table_is_bounded_and_forgets_guests_that_are_gone_but_no_one_of_the_roster() -> None:
     view = View("me", frozenset({"n0"}), 600 * S)
     view.take(START, other("n0", state=State.DEAD))
-    for number in range(1, RECORDS_MOST):
+    for number in range(1, MAX_RECORDS):
         view.take(START, other(f"n{number}", state=State.LEFT if number == 5 else State.ALIVE))
-    assert len(view) == RECORDS_MOST
+    assert len(view) == MAX_RECORDS
     assert view.take(START, other("late")) is not None, "in place of the one that left"
     assert view.get("n5") is None and view.take(START, other("later")) is None
     view.take(START, other("n7", state=State.DEAD))
@@ -232,31 +232,31 @@
     ],
 )
 def test_standing_counts_the_roster_and_ourselves(alive: int, suspect: int, standing: Standing) -> None:
-    count = Count("n0", (Roster(1, frozenset(f"n{n}" for n in range(8))),))
+    count = Count("n0", (VoterSet(1, frozenset(f"n{n}" for n in range(8))),))
     for number in range(1, 8):
         state = State.ALIVE if number <= alive else State.SUSPECT if number <= alive + suspect else State.DEAD
         count.changed(f"n{number}", None, other(f"n{number}", state=state))
     for number in range(10, 30):  # guests, whatever they go by
-        count.changed(f"n{number}", None, other(f"n{number}", roster=99))
+        count.changed(f"n{number}", None, other(f"n{number}", voters_id=99))
     assert count.standing(True) is standing
     assert count.standing(False) is Standing.JOINING
     out_of_touch = Standing.UNSURE if alive >= 4 else Standing.MINORITY
     assert count.standing(True, in_touch=False) is out_of_touch
     count.damp("n1", True, State.ALIVE)
-    assert count.standing(True) is (standing if alive == 7 or not standing.may_decide else Standing.UNSURE)
+    assert count.standing(True) is (standing if alive == 7 or not standing.has_quorum else Standing.UNSURE)
 
 
 def test_while_two_rosters_are_in_use_both_majorities_are_needed() -> None:
-    old, new = (Roster(v, frozenset(f"n{n}" for n in r)) for v, r in ((1, range(3)), (2, range(2, 9))))
+    old, new = (VoterSet(v, frozenset(f"n{n}" for n in r)) for v, r in ((1, range(3)), (2, range(2, 9))))
     count = Count("n3", (new, old))
     for number in range(4, 9):
-        count.changed(f"n{number}", None, other(f"n{number}", roster=new.id))
+        count.changed(f"n{number}", None, other(f"n{number}", voters_id=new.id))
     assert count.standing(True) is Standing.MAJORITY
-    count.changed("n2", None, other("n2", roster=old.id))
+    count.changed("n2", None, other("n2", voters_id=old.id))
     assert count.standing(True) is Standing.MINORITY, "one of three of the old one"
-    count.changed("n1", None, other("n1", roster=old.id))
+    count.changed("n1", None, other("n1", voters_id=old.id))
     assert count.standing(True) is Standing.MAJORITY
-    count.changed("n0", None, other("n0", roster=12345))
+    count.changed("n0", None, other("n0", voters_id=12345))
     assert count.standing(True) is Standing.UNSURE, "a roster that we do not know"
 
 
@@ -516,7 +516,7 @@
         before = sum(group.bytes.values())
         group.run(10)
         loads.append((sum(group.bytes.values()) - before) / count / 10)
-        assert group.longest <= DATAGRAM_MOST
+        assert group.longest <= MAX_DATAGRAM
     assert loads[1] < 1.2 * loads[0] < 400
 
 
@@ -570,9 +570,9 @@
     def nobody_decides_whose_own_table_shows_no_majority(self) -> None:
         for node in getattr(self, "group", Group(0, 0)).running():
             assert node.protocol is not None
-            if node.protocol.standing.may_decide:
+            if node.protocol.standing.has_quorum:
                 alive = sum(record.state is State.ALIVE for record in node.protocol.view)
-                assert alive >= self.group.roster.majority
+                assert alive >= self.group.voters.majority
 
     def teardown(self) -> None:
         group = getattr(self, "group", None)
@@ -594,9 +594,9 @@
     """The alive ones go by the view, those cut off by the settings: the module leaves 13/16 of what tips."""
     alive = min(alive, configured)
     if alive * 2 <= configured:
-        assert sharers(configured, max(1, alive), sure=False) >= configured
+        assert sharing_instances(configured, max(1, alive), sure=False) >= configured
         return
-    ours = alive / sharers(configured, alive, sure=True)
-    theirs = (configured - alive) / sharers(configured, configured - alive, sure=False)
+    ours = alive / sharing_instances(configured, alive, sure=True)
+    theirs = (configured - alive) / sharing_instances(configured, configured - alive, sure=False)
     assert 13 / 16 * (ours + theirs) < 1
-    assert sharers(configured, configured + guests, sure=False) == configured + guests
+    assert sharing_instances(configured, configured + guests, sure=False) == configured + guests
--- a/tests/test_message.py
+++ b/tests/test_message.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from reedmount.net.ring import Ring
-from reedmount.sip.dialog import as_caller, key_of
+from reedmount.sip.dialog import dialog_key, uac_dialog
 from reedmount.sip.framing import next_message
 from reedmount.sip.message import (
     Message,
@@ -115,7 +115,7 @@
     invite = request("INVITE", "sip:them@b", headers)
     extra = [("Record-Route", "<sip:p1>, <sip:p2>"), ("Contact", "<sip:them@c:9>")]
     answer = response(invite, 200, extra, tag="2")
-    dialog = as_caller(invite, answer)
+    dialog = uac_dialog(invite, answer)
     bye = dialog.request("BYE", "SIP/2.0/UDP us;branch=z9hG4bK1")
     assert bye.uri == "sip:them@c:9" and bye.all("Route") == ["<sip:p2>", "<sip:p1>"]
     assert bye.cseq == (2, "BYE")
@@ -123,7 +123,7 @@
         b"BYE sip:us@a SIP/2.0\r\nCall-ID: x\r\nFrom: <sip:them@b>;tag=2\r\n"
         b"To: <sip:us@a>;tag=1\r\nCSeq: 5 BYE"
     )
-    assert key_of(theirs) == dialog.key
+    assert dialog_key(theirs) == dialog.key
     assert dialog.in_order(theirs) and not dialog.in_order(theirs)
     assert isinstance(theirs, Message)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 from reedmount.core.actors import Actor
 from reedmount.core.checks import Counters, invariant
 from reedmount.core.clock import ZERO, Clock, micros, span, whole_millis
-from reedmount.net.connection import Connection, End, address_of, bind
+from reedmount.net.connection import Connection, EndReason, bind, parse_address
 from reedmount.net.loop import Loop
 from reedmount.net.ring import Ring
 from tests.scenario import HOST, VirtualTime, crowded
@@ -44,9 +44,9 @@
 def test_timers_come_in_order_and_cancelled_ones_not() -> None:
     time, seen = VirtualTime(), list[str]()
     loop = Loop(time.clock)
-    loop.after(timedelta(seconds=2), lambda: seen.append("late"))
-    loop.after(timedelta(seconds=1), lambda: seen.append("early"))
-    loop.after(timedelta(seconds=1), lambda: seen.append("never")).cancel()
+    loop.call_later(timedelta(seconds=2), lambda: seen.append("late"))
+    loop.call_later(timedelta(seconds=1), lambda: seen.append("early"))
+    loop.call_later(timedelta(seconds=1), lambda: seen.append("never")).cancel()
     loop.turn(ZERO)
     assert not seen
     time.seconds = 3.0
@@ -69,8 +69,8 @@
     assert seen == [0, 1, 2, 10, 11, 12]
 
 
-def dial(address: tuple[str, int], wait: timedelta) -> tuple[Loop, VirtualTime, list[End]]:
-    time, ends = VirtualTime(), list[End]()
+def dial(address: tuple[str, int], wait: timedelta) -> tuple[Loop, VirtualTime, list[EndReason]]:
+    time, ends = VirtualTime(), list[EndReason]()
     loop = Loop(time.clock)
     Connection.dial(loop, address, wait, lambda _: None, lambda _, how: ends.append(how))
     return loop, time, ends
@@ -82,14 +82,14 @@
     loop, _, ends = dial(closed, timedelta(seconds=1))
     for _ in range(5):
         loop.turn(timedelta(milliseconds=20))
-    assert ends == [End.REFUSED]
+    assert ends == [EndReason.REFUSED]
     with crowded() as (full, _filling):
         loop, time, ends = dial(full.getsockname(), timedelta(milliseconds=500))
         loop.turn(timedelta(milliseconds=20))
         assert not ends
         time.seconds = 1.0
         loop.turn(ZERO)
-        assert ends == [End.NEVER_UP]
+        assert ends == [EndReason.NEVER_UP]
 
 
 def test_a_peer_that_reads_nothing_is_given_up() -> None:
@@ -99,7 +99,7 @@
         out = socket.create_connection(server.getsockname())
         accepted, _ = server.accept()
     left.close()
-    ends: list[End] = []
+    ends: list[EndReason] = []
     loop = Loop(VirtualTime().clock)
     connection = Connection(loop, out, lambda _: None, lambda _, how: ends.append(how))
     for _ in range(2000):
@@ -107,14 +107,14 @@
         loop.turn(ZERO)
         if ends:
             break
-    assert ends == [End.STUCK] and connection.ended
+    assert ends == [EndReason.STUCK] and connection.ended
     accepted.close()
 
 
 @pytest.mark.parametrize("text", ["", "host", "host:", ":1", "host:70000", "host:x"])
 def test_bad_addresses_are_refused(text: str) -> None:
     with pytest.raises(ValueError):
-        address_of(text)
+        parse_address(text)
 
 
 def test_an_invariant_is_asserted_in_debug_builds_and_counted_in_release_builds() -> None:
@@ -126,7 +126,7 @@
         "from reedmount.core.clock import Clock, ZERO\n"
         "from reedmount.net.loop import Loop\n"
         "invariant(False, 'one')\n"
-        "loop = Loop(Clock()); loop.soon(lambda: 1 / 0); loop.turn(ZERO)\n"
+        "loop = Loop(Clock()); loop.call_soon(lambda: 1 / 0); loop.turn(ZERO)\n"
         "print(COUNTERS.text())"
     )
     done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, env=os.environ)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,9 +15,9 @@
 from reedmount.members.outbox import Output
 from reedmount.members.quorum import Standing
 from reedmount.operator_file import read_operator
-from reedmount.peers.membership import HELD_MOST, Peers
+from reedmount.peers.membership import MAX_HELD, Membership
 from reedmount.peers.platform import read_peers, settings_of
-from reedmount.peers.settings import PeerSettings
+from reedmount.peers.settings import MembershipSettings
 from standins.world import World
 from tests.test_config import ROOT
 
@@ -25,7 +25,7 @@
 FILE = (ROOT / "deploy" / "members.toml").read_text()
 
 
-def members(folder: Path, old: str = "", new: str = "") -> PeerSettings:
+def members(folder: Path, old: str = "", new: str = "") -> MembershipSettings:
     assert old in FILE
     path = folder / "members.toml"
     path.write_text(FILE.replace(old, new, 1))
@@ -43,7 +43,7 @@
     text = "\n".join([head, "[members]", *bare, "[[class]]" + classes])
     (tmp_path / "bare.toml").write_text(text)
     assert read_operator(tmp_path / "bare.toml").members == kept
-    assert kept.rosters[0].majority == 2 and kept.advertise == kept.listen
+    assert kept.voter_sets[0].majority == 2 and kept.advertise == kept.listen
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     peers = [f"10.3.0.{number}:7946" for number in range(1, 200)]
     path = tmp_path / "config.json"
 
-    def read(allowed: bool, **config: object) -> PeerSettings | None:
+    def read(allowed: bool, **config: object) -> MembershipSettings | None:
         settings = {"allowed": {"peers": allowed}, "self_index": 3, "zone": "zurich"}
         path.write_text(json.dumps({"settings": settings, **config}))
         return read_peers({"GW_CONFIG": str(path)})
@@ -93,10 +93,10 @@
     found = read(True, peers=peers, peer_listen="10.0.0.4:7946")
     assert found is not None and read(True) is None
     assert read(False, peers=peers, peer_listen="10.0.0.4:7946") is None
-    assert (found.name, found.zone, found.guests) == ("p3", "zurich", False)
+    assert (found.name, found.zone, found.nonvoters) == ("p3", "zurich", False)
     assert (found.listen, found.advertise) == (("10.0.0.4", 7946), ("10.3.0.4", 7946))
-    assert found.rosters[0].majority == 100
-    assert found.ways_in[0] == ("10.3.0.5", 7946) and len(found.ways_in) == 64
+    assert found.voter_sets[0].majority == 100
+    assert found.seed_addresses[0] == ("10.3.0.5", 7946) and len(found.seed_addresses) == 64
     wrongs: list[tuple[object, object]] = [
         ([], 0), ("all", 0), (peers[:3], 3), ([*peers, peers[0]], 0), (peers, True), (peers, None)
     ]  # fmt: skip
@@ -114,9 +114,9 @@
     for sock in socks[:3]:
         sock.close()
     plain = members(tmp_path)
-    told = replace(plain, tell=listener, ways_in=tuple(places))
+    told = replace(plain, tell=listener, seed_addresses=tuple(places))
     group = [
-        Peers(world.loop, replace(told, name=f"n{number}", listen=place, advertise=place))
+        Membership(world.loop, replace(told, name=f"n{number}", listen=place, advertise=place))
         for number, place in enumerate(places, 1)
     ]
     assert world.until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
@@ -130,7 +130,7 @@
     assert line["event"] in ("member", "standing") and line["n"] == 1
 
     before = COUNTERS["members.dropped.no_room"]
-    group[0]._held.extend([(("127.0.0.1", 1), b"x")] * HELD_MOST)
+    group[0]._held.extend([(("127.0.0.1", 1), b"x")] * MAX_HELD)
     socks[3].sendto(b"noise", places[0])
     world.run(timedelta(milliseconds=20))
     assert COUNTERS["members.dropped.no_room"] > before
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,11 +10,11 @@
 
 from reedmount import interface as i
 from reedmount.core.checks import COUNTERS
-from reedmount.core.ports import Listed, Setup
+from reedmount.core.ports import ListedServer, Setup
 from reedmount.core.switch import Switch
 from reedmount.fronts.call_servers import CallServers
 from reedmount.fronts.platform import Callers
-from reedmount.fronts.server_connection import Terms
+from reedmount.fronts.server_connection import ConnectionLimits
 from reedmount.sip.message import response
 from tests.scenario import HOST, Stage, digits
 from tests.support import SETTINGS
@@ -44,8 +44,8 @@
         super().__init__()
         settings = replace(SETTINGS, release_wait_us=200_000, redials_marked=False, **changes)  # type: ignore[arg-type]
         self.switch = Switch(self.loop, settings, 1)
-        self.terms = Terms(timedelta(milliseconds=500))
-        self.side = CallServers(self.loop, self.switch, self.terms, 2 * lanes)
+        self.limits = ConnectionLimits(timedelta(milliseconds=500))
+        self.side = CallServers(self.loop, self.switch, self.limits, 2 * lanes)
         self.switch.attach(self.side)
         self.callers = Callers(self.loop, self.switch, (HOST, 0), 16)
         for name in ("caller", "other"):
@@ -60,10 +60,10 @@
         self.version += 1
         flags = (state == "serving", state == "removed")
         entries = [
-            Listed(name, (HOST, port or self.peers[name].port), n, *flags, None)
+            ListedServer(name, (HOST, port or self.peers[name].port), n, *flags, None)
             for n, name in enumerate(names, 1)
         ]
-        self.switch.pool(self.version, i.ListKind.CHANGES, entries)
+        self.switch.pool_changed(self.version, i.ListKind.CHANGES, entries)
         self.settle()
 
 
@@ -87,7 +87,7 @@
         caller expect nothing
     """
     )
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_messages_come_split_and_joined(stage: Platform) -> None:
@@ -177,7 +177,7 @@
 
 def test_where_callers_are_told_no_pause_a_refusal_has_none() -> None:
     """It was told whatever the settings allowed."""
-    stage = Platform("server", max_attempts=1, longest_pause_us=0)
+    stage = Platform("server", max_attempts=1, max_retry_after_us=0)
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n server send 503 INVITE")
     stage.play("server expect ACK c1\n wait 5")
     refusal = stage.peers["caller"].inbox[0]
@@ -207,7 +207,7 @@
         caller expect nothing
         server expect nothing
     """)
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_an_answer_that_crosses_the_cancel_is_released(stage: Platform) -> None:
@@ -351,9 +351,11 @@
     stage.peer("server", "thin")
     listed = stage.peers["server"]
     assert listed.listener is not None
-    entry = Listed("server", (HOST, listed.port), 1, True, False, None)
-    stage.switch.pool(2, i.ListKind.CHANGES, [entry])
-    stage.loop.soon(lambda: stage.switch.pool(3, i.ListKind.CHANGES, [replace(entry, serving=False)]))
+    entry = ListedServer("server", (HOST, listed.port), 1, True, False, None)
+    stage.switch.pool_changed(2, i.ListKind.CHANGES, [entry])
+    stage.loop.call_soon(
+        lambda: stage.switch.pool_changed(3, i.ListKind.CHANGES, [replace(entry, serving=False)])
+    )
     stage.play(f"""
         caller send {SETUP}
         wait 300
@@ -431,7 +433,7 @@
 
 def test_callers_beyond_the_budget_push_out_idle_connections() -> None:
     stage = Platform("server")
-    stage.callers.most = 1
+    stage.callers.max_connections = 1
     stage.play("""
         caller send OPTIONS t
         caller expect 200 t
@@ -444,7 +446,7 @@
 def test_a_connection_that_only_tested_hears_no_release_and_makes_room_for_others() -> None:
     """Clients that test once and stay pushed out those with calls, then got the releases: nobody heard."""
     stage = Platform("server")
-    stage.callers.most = 2
+    stage.callers.max_connections = 2
     stage.peer("late", "thin", stage.callers.address)
     stage.play(
         STANDS
@@ -477,11 +479,11 @@
     stage.switch._module.handle = noted  # type: ignore[method-assign]
     for lines in (3.0, 5.0):  # of one server the latest word counts
         for name in "abc":
-            stage.switch.reported(name, i.LoadReport(free_lines=lines))
+            stage.switch.load_reported(name, i.LoadReport(free_lines=lines))
     stage.settle()
     latest = i.LoadReport(free_lines=5.0)
-    assert seen == [i.Reports((("a", latest), ("b", latest), ("c", latest)))]
-    stage.switch.reported("b", i.LoadReport(free_lines=1.0))
+    assert seen == [i.LoadReports((("a", latest), ("b", latest), ("c", latest)))]
+    stage.switch.load_reported("b", i.LoadReport(free_lines=1.0))
     stage.settle()
-    assert seen[1:] == [i.Reports((("b", i.LoadReport(free_lines=1.0)),))]
+    assert seen[1:] == [i.LoadReports((("b", i.LoadReport(free_lines=1.0)),))]
     stage.loop.close()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reedmount.net.connection import text_of
-from reedmount.pool.claims import Claim, Place, Word
-from reedmount.pool.pool import MARKS_MOST, SERVERS_MOST, Change, Past, Pool
+from reedmount.net.connection import format_address
+from reedmount.pool.claims import Claim, ClaimState, Endpoint
+from reedmount.pool.pool import MAX_MARKS, MAX_SERVERS, Change, ExpiryPolicy, Pool
 from reedmount.pool.rule import Rule, decide
 
 T0 = datetime(2026, 12, 1, tzinfo=UTC)
 S = timedelta(seconds=1)
 A, B, C = ("192.0.2.1", 5060), ("192.0.2.2", 5060), ("2001:db8::3", 5060)
-GONE, DRAINING = Word.GONE, Word.DRAINING
+GONE, DRAINING = ClaimState.GONE, ClaimState.DRAINING
 
 # Every pair of words of two sources, once in each order, and what holds: written down, not computed.
 PAIRS = {
@@ -38,24 +38,26 @@
 }  # fmt: skip
 
 
-def claim(place: Place, word: Word = Word.SERVING, started: datetime | None = None, **more: object) -> Claim:
-    return Claim(place, str(more.pop("name", text_of(place))), word, started=started, **more)  # type: ignore[arg-type]
+def claim(
+    place: Endpoint, word: ClaimState = ClaimState.SERVING, started: datetime | None = None, **more: object
+) -> Claim:
+    return Claim(place, str(more.pop("name", format_address(place))), word, started=started, **more)  # type: ignore[arg-type]
 
 
 class World:
     """A pool of three sources and what it has told so far."""
 
-    def __init__(self, past: Past = Past.DRAIN, *sources: str) -> None:
+    def __init__(self, past: ExpiryPolicy = ExpiryPolicy.DRAIN, *sources: str) -> None:
         self.now = T0
         self.pool = Pool(T0, sources or ("list", "zone", "srv"), past)
-        self.told: dict[Place, Change] = {}
+        self.told: dict[Endpoint, Change] = {}
 
     def whole(self, source: str, *claims: Claim, fresh: timedelta | None = None, **more: object) -> None:
-        for part in self.pool.whole(self.now, source, claims, fresh_for=fresh, **more):  # type: ignore[arg-type]
+        for part in self.pool.full_update(self.now, source, claims, fresh_for=fresh, **more):  # type: ignore[arg-type]
             self.take(part.changes)
 
     def news(self, source: str, *claims: Claim) -> None:
-        self.take(self.pool.news(self.now, source, claims))
+        self.take(self.pool.partial_update(self.now, source, claims))
 
     def wait(self, span: timedelta) -> None:
         self.now += span
@@ -65,31 +67,31 @@
     def take(self, changes: list[Change]) -> None:
         for change in changes:
             if change.removed:
-                del self.told[change.entry.place]
+                del self.told[change.entry.endpoint]
             else:
-                self.told[change.entry.place] = change
+                self.told[change.entry.endpoint] = change
 
-    def serving(self) -> set[Place]:
+    def serving(self) -> set[Endpoint]:
         return {place for place, change in self.told.items() if change.entry.serves}
 
-    def started(self, place: Place) -> datetime | None:
+    def started(self, place: Endpoint) -> datetime | None:
         return self.told[place].entry.started
 
 
 @pytest.mark.parametrize(("pair", "rule"), PAIRS.items())
 def test_every_pair_of_words_has_its_stated_rule(pair: str, rule: str) -> None:
-    words = [Word(word) for word in pair.split()]
+    words = [ClaimState(word) for word in pair.split()]
     assert decide(words) is decide(words[::-1]) is Rule[rule]
 
 
 def test_the_pairs_are_all_there_are() -> None:
     written = {frozenset(pair.split()) for pair in PAIRS}
-    assert written == {frozenset((a.value, b.value)) for a, b in product(Word, Word)}
+    assert written == {frozenset((a.value, b.value)) for a, b in product(ClaimState, ClaimState)}
 
 
 @pytest.mark.parametrize(("three", "rule"), TRIPLES.items())
 def test_three_words_in_any_order(three: str, rule: str) -> None:
-    for words in permutations(Word(word) for word in three.split()):
+    for words in permutations(ClaimState(word) for word in three.split()):
         assert decide(words) is Rule[rule]
 
 
@@ -136,7 +138,7 @@
     world.whole("list", claim(A))
     world.whole("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
     for _ in range(5):
-        world.pool.failed("srv", "timeout")
+        world.pool.source_failed("srv", "timeout")
     world.wait(31 * S)
     assert world.serving() == {A, B} and world.told[B].entry.rule is Rule.KEPT
     assert world.pool.sources["srv"].parts[""].failures == 5
@@ -148,7 +150,7 @@
 
 
 def test_as_a_last_resort_expired_servers_serve_only_while_there_is_no_other() -> None:
-    world = World(Past.LAST_RESORT)
+    world = World(ExpiryPolicy.LAST_RESORT)
     world.whole("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
     world.wait(91 * S)
     assert world.serving() == {A, B} and world.told[A].entry.rule is Rule.LAST_RESORT
@@ -264,15 +266,15 @@
 
 def test_servers_marks_and_numbers_are_bounded() -> None:
     world = World()
-    places = [(f"10.{n // 65536}.{n // 256 % 256}.{n % 256}", 5060) for n in range(SERVERS_MOST + 50)]
+    places = [(f"10.{n // 65536}.{n // 256 % 256}.{n % 256}", 5060) for n in range(MAX_SERVERS + 50)]
     world.whole("srv", *(claim(place) for place in places))
-    assert len(world.pool.entries) == SERVERS_MOST
-    assert len({entry.number for entry in world.pool.entries.values()}) == SERVERS_MOST
+    assert len(world.pool.entries) == MAX_SERVERS
+    assert len({entry.number for entry in world.pool.entries.values()}) == MAX_SERVERS
     world.whole("srv", claim(A))
     for turn in range(3):
         world.news("list", *(claim((f"10.9.{turn}.{n}", n + 1), GONE) for n in range(2000)))
     assert list(world.told) == [A]
-    assert len(world.pool._marks) <= MARKS_MOST
+    assert len(world.pool._marks) <= MAX_MARKS
     world.now += timedelta(minutes=11)
     world.news("list", claim(B))
     assert len(world.pool._marks) == 0 and set(world.pool.sources["list"].sayings) == {B}
@@ -282,7 +284,9 @@
     world = World()
     places = [("10.0.0.1", port) for port in range(1, 1001)]
     world.whole("srv", *(claim(place) for place in places))
-    slices = list(world.pool.whole(world.now, "srv", [claim(("10.0.0.2", port)) for port in range(1, 1001)]))
+    slices = list(
+        world.pool.full_update(world.now, "srv", [claim(("10.0.0.2", port)) for port in range(1, 1001)])
+    )
     leaving = [any(change.removed for change in part.changes) for part in slices if part.changes]
     assert leaving == sorted(leaving, reverse=True) == [part.urgent for part in slices if part.changes]
     assert max(len(part.changes) for part in slices if not part.urgent) <= 16
@@ -294,61 +298,64 @@
     places = [("10.0.0.1", port) for port in range(1, 201)]
     world.whole("list", *(claim(place) for place in places))
     said = [*(claim(place) for place in places[:-1]), claim(places[-1], DRAINING)]
-    first = next(part for part in world.pool.whole(world.now, "list", said) if part.changes)
-    assert [change.entry.place for change in first.changes] == [places[-1]] and first.urgent
+    first = next(part for part in world.pool.full_update(world.now, "list", said) if part.changes)
+    assert [change.entry.endpoint for change in first.changes] == [places[-1]] and first.urgent
 
 
 def test_a_newer_word_holds_against_a_long_answer_that_is_still_being_taken() -> None:
     world = World()
     places = [("10.0.0.1", port) for port in range(1, 201)]
     world.whole("list", *(claim(place) for place in places))
-    taking = world.pool.whole(world.now, "list", [claim(place) for place in places])
+    taking = world.pool.full_update(world.now, "list", [claim(place) for place in places])
     next(taking)
     world.news("list", claim(places[-1], DRAINING))
     for part in taking:
         world.take(part.changes)
     assert world.told[places[-1]].entry.rule is Rule.DRAINING
-    older = world.pool.whole(world.now, "list", [claim(place) for place in (*places, A)])
+    older = world.pool.full_update(world.now, "list", [claim(place) for place in (*places, A)])
     next(older)
     world.whole("list", *(claim(place) for place in places[:100]))
     for part in older:
         world.take(part.changes)
     assert world.serving() == set(places[:100]), "a newer complete answer ends the one before"
-    dropped = world.pool.whole(world.now, "list", [claim(place) for place in places])
+    dropped = world.pool.full_update(world.now, "list", [claim(place) for place in places])
     next(dropped)
     world.take(world.pool.drop_part(world.now, "list", ""))
     assert not [part for part in dropped if part.changes] and not world.told
 
 
-words = st.sampled_from((Word.SERVING, Word.DRAINING, Word.GONE))
+words = st.sampled_from((ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE))
 says = st.tuples(st.sampled_from(("list", "srv")), st.sampled_from((A, B, C)), words, st.booleans())
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(says, st.integers(0, 40)), max_size=25))
 def test_whatever_is_said_in_whatever_order_no_server_serves_that_a_source_calls_leaving(
-    events: list[tuple[tuple[str, Place, Word, bool], int]],
+    events: list[tuple[tuple[str, Endpoint, ClaimState, bool], int]],
 ) -> None:
     """A referee that only remembers the last word of each source, and the answers' lifetimes."""
     world = World()
-    last: dict[tuple[str, Place], Word] = {}
-    starts: dict[Place, datetime] = {}
+    last: dict[tuple[str, Endpoint], ClaimState] = {}
+    starts: dict[Endpoint, datetime] = {}
     for (source, place, word, whole), pause in events:
         world.now += pause * S
         serving = world.serving()
-        if whole and word is Word.SERVING:
+        if whole and word is ClaimState.SERVING:
             world.whole(source, claim(place), fresh=10 * S, keep_for=1000 * S)
             for other in (A, B, C):
                 if last.get((source, other)) is not None and other != place:
-                    last[source, other] = Word.GONE
+                    last[source, other] = ClaimState.GONE
         else:
             world.news(source, claim(place, word))
         last[source, place] = word
         for other in world.serving():
-            assert Word.SERVING in (last.get(("list", other)), last.get(("srv", other)))
-            assert not {last.get(("list", other)), last.get(("srv", other))} & {Word.DRAINING, Word.GONE}
+            assert ClaimState.SERVING in (last.get(("list", other)), last.get(("srv", other)))
+            assert not {last.get(("list", other)), last.get(("srv", other))} & {
+                ClaimState.DRAINING,
+                ClaimState.GONE,
+            }
             started = world.started(other)
             if other not in serving and other in starts:
                 assert started == world.now, "what comes back is cold"
             starts[other] = started or T0
-        assert all(entry.place == place for place, entry in world.pool.entries.items())
+        assert all(entry.endpoint == place for place, entry in world.pool.entries.items())
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -11,16 +11,18 @@
 
 from reedmount.config import ConfigError
 from reedmount.operator_file import read_operator
-from reedmount.records.record import Held, decode, encode
+from reedmount.records.record import CallRecord, decode, encode
 from reedmount.records.settings import ReplicaSettings
-from reedmount.sip.dialog import Dialog, Side
+from reedmount.sip.dialog import Dialog, DialogState
 from standins.site import Site
 from tests.test_config import ROOT
 
 FILE = (ROOT / "deploy" / "replicas.toml").read_text()
 DISK = "# [replicas.disk_faults]"
 S = timedelta(seconds=1)
-SIDE = Side.of(Dialog("c1", "<sip:a@b>;tag=1", "<sip:c@d>;tag=2", "sip:c@192.0.2.1:5060", number=3), False)
+SIDE = DialogState.of(
+    Dialog("c1", "<sip:a@b>;tag=1", "<sip:c@d>;tag=2", "sip:c@192.0.2.1:5060", number=3), False
+)
 
 
 def settings(folder: Path, old: str = "", new: str = "") -> ReplicaSettings:
@@ -64,7 +66,7 @@
 
 def test_a_record_and_its_dialogs_are_read_as_they_were_written() -> None:
     routed = replace(SIDE, route=("<sip:r@192.0.2.7:5080;lr>",))
-    held = Held("sip-1", "plain", "0123", 5, sides=(SIDE, routed))
+    held = CallRecord("sip-1", "plain", "0123", 5, sides=(SIDE, routed))
     assert decode(encode(held)) == held
     one, other = held.sides
     assert one.dialog.request("BYE", "x").cseq == (4, "BYE")
@@ -81,21 +83,23 @@
         self.waiting: list[Callable[[], None]] = []
         self.said: list[str] = []
 
-    def taken(self, offer: object, at: object) -> None:
+    def call_offered(self, offer: object, at: object) -> None:
         self.said.append("taken")
 
-    def final(self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]) -> None:
+    def call_rejected(
+        self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]
+    ) -> None:
         self.said.append(outcome)
         self.waiting.append(answer)
 
-    def ended(self, name: str, how: str) -> None:
+    def call_ended(self, name: str, how: str) -> None:
         self.said.append(how)
 
-    def dropped(self, name: str, attempts: int, server: str) -> None:
+    def call_forgotten(self, name: str, attempts: int, server: str) -> None:
         self.said.append("dropped")
 
-    def stands(
-        self, name: str, server: str, attempts: int, sides: tuple[Side, ...], then: Callable[[], None]
+    def call_established(
+        self, name: str, server: str, attempts: int, sides: tuple[DialogState, ...], then: Callable[[], None]
     ) -> None:
         assert len(sides) == 2 and len({side.call_id for side in sides}) == 2
         self.said.append("stands")
@@ -107,7 +111,7 @@
     site = Site(tmp_path, servers=1)
     site.run(S)
     keeper = Slow()
-    site.node.switch.keeper = site.front.keeper = keeper
+    site.node.switch.recorder = site.front.recorder = keeper
     callers = site.callers(10.0)
     callers.start(site.now, S / 5)
     site.run(S)
@@ -126,7 +130,7 @@
     site.run(S)
     site.servers[0].state = "busy"
     keeper = Slow()
-    site.node.switch.keeper = site.front.keeper = keeper
+    site.node.switch.recorder = site.front.recorder = keeper
     callers = site.callers(10.0)
     callers.start(site.now, S / 5)
     site.run(15 * S)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -10,9 +10,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from reedmount.replicas.messages import (
-    DATA_MOST,
     FRAME,
-    FRAME_MOST,
+    MAX_DATA,
+    MAX_FRAME,
     Append,
     Entry,
     FrameError,
@@ -56,15 +56,15 @@
     with pytest.raises(FrameError):
         unframe(bytes(turned))
     with pytest.raises(FrameError):
-        length_of(FRAME.pack(FRAME_MOST + 1, 0))
+        length_of(FRAME.pack(MAX_FRAME + 1, 0))
 
 
 def test_entries_are_parted_so_that_each_message_fits() -> None:
-    for size in (0, 100, DATA_MOST):
+    for size in (0, 100, MAX_DATA):
         entries = [entry(seq, size) for seq in range(1, 400)]
         made = parts(entries)
         assert [one for part in made for one in part] == entries
-        assert all(len(frame(Append(SHARD, TERM, 0, part))) < FRAME_MOST for part in made)
+        assert all(len(frame(Append(SHARD, TERM, 0, part))) < MAX_FRAME for part in made)
     assert parts([]) == [[]]
 
 
@@ -87,7 +87,7 @@
     group = Group(5, seed)
     group.run(3)
     for _ in range(4):
-        name = group.chance.choice(group.names)
+        name = group.rng.choice(group.names)
         group.kill(name)
         group.run(7.5)
         assert group.orphans() == [], "8 s after its death"
@@ -101,7 +101,7 @@
 def test_an_owner_that_was_cut_off_writes_no_more_to_what_another_has_taken(seed: int) -> None:
     group = Group(5, seed)
     group.run(3)
-    name = group.chance.choice(group.names)
+    name = group.rng.choice(group.names)
     group.cut(name)
     group.run(9)
     group.heal()
@@ -158,11 +158,11 @@
             if member.replicas is None:
                 continue
             for shard, copy in member.replicas.copies.items():
-                key = (name, member.life, shard)
+                key = (name, member.boot_id, shard)
                 assert copy.promised >= self.terms.get(key, copy.promised) and copy.term <= copy.promised
                 self.terms[key] = copy.promised
             for shard, owner in member.replicas.owners.items():
-                key = (name, member.life, shard)
+                key = (name, member.boot_id, shard)
                 assert self.durable.get(key, 0) <= owner.durable <= owner.copy.seq
                 self.durable[key] = owner.durable
 
@@ -191,18 +191,18 @@
     """Kills, restarts and cuts without measure: more than f at once lose promises, and break nothing else."""
     group = Group(7, seed, faults=1 + seed % 2)
     for _ in range(40):
-        match group.chance.choice(["kill", "start", "cut", "heal", "none"]):
+        match group.rng.choice(["kill", "start", "cut", "heal", "none"]):
             case "kill":
-                group.kill(group.chance.choice(group.names))
+                group.kill(group.rng.choice(group.names))
             case "start":
                 down = [name for name, member in group.members.items() if member.replicas is None]
                 for name in down[:1]:
                     group.start(name)
             case "cut":
-                group.cut(*group.chance.sample(group.names, group.chance.randint(1, 3)))
+                group.cut(*group.rng.sample(group.names, group.rng.randint(1, 3)))
             case "heal":
                 group.heal()
-        group.run(group.chance.uniform(0.1, 3))
+        group.run(group.rng.uniform(0.1, 3))
     group.heal()
     for name, member in group.members.items():
         if member.replicas is None:
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -10,14 +10,14 @@
 
 def fleet_of(proxies: int, seed: int = 1) -> Bench:
     """One of so many proxies, before two servers of which the first is told to have no line."""
-    bench = Bench(replace(SETTINGS, proxies=proxies), seed)
+    bench = Bench(replace(SETTINGS, instances=proxies), seed)
     bench.feed(pool(entry("a"), entry("b")))
     free(bench, "a", 0)
     return bench
 
 
 def free(bench: Bench, server: str, lines: float) -> None:
-    bench.feed(i.Reports(((server, i.LoadReport(free_lines=lines, lines=200.0)),)))
+    bench.feed(i.LoadReports(((server, i.LoadReport(free_lines=lines, lines=200.0)),)))
 
 
 def placed(bench: Bench, calls: int, first: int = 1) -> int:
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -14,11 +14,11 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.dns.answers import Answer, Fault, meaning
-from reedmount.dns.cache import Bounds, Cache
+from reedmount.dns.cache import Cache, CacheLimits
 from reedmount.dns.health import ALONE_REST, BESIDE_REST, JITTER, NameServers
-from reedmount.dns.query import GivenUp, Patience
-from reedmount.dns.reader import RECORDS_MOST, Question, ReadError, head, read
-from reedmount.dns.resolver import FLIGHTS_MOST, Resolver, ResolverSettings
+from reedmount.dns.query import LookupFailed, QueryTimeouts
+from reedmount.dns.reader import MAX_RECORDS, Question, ReadError, read_head, read_reply
+from reedmount.dns.resolver import MAX_FLIGHTS, Resolver, ResolverSettings
 from standins.nameserver import FAULTS, NameServer
 from standins.world import World
 
@@ -40,7 +40,7 @@
         self.stands += self.servers
         self.resolver = Resolver(
             self.loop,
-            ResolverSettings(tuple(s.address for s in self.servers), bounds=Bounds(**bounds)),  # type: ignore[arg-type]
+            ResolverSettings(tuple(s.address for s in self.servers), limits=CacheLimits(**bounds)),  # type: ignore[arg-type]
             random.Random(3),
         )
 
@@ -48,9 +48,9 @@
         for server in self.servers:
             server.plan(name, **words)  # type: ignore[arg-type]
 
-    def ask(self, question: Question = SRV, fresh: bool = False) -> Answer | GivenUp:
-        got: list[Answer | GivenUp] = []
-        self.resolver.ask(question, got.append, fresh)
+    def ask(self, question: Question = SRV, fresh: bool = False) -> Answer | LookupFailed:
+        got: list[Answer | LookupFailed] = []
+        self.resolver.resolve(question, got.append, fresh)
         assert self.until(lambda: bool(got), 20 * S), "no end"
         assert len(got) == 1
         return got[0]
@@ -62,7 +62,7 @@
 
     def given_up(self, question: Question = SRV) -> str:
         answer = self.ask(question)
-        assert isinstance(answer, GivenUp)
+        assert isinstance(answer, LookupFailed)
         assert self.seconds <= 5.01, "within the deadline of the question"
         return answer.why
 
@@ -72,7 +72,7 @@
     made = Net()
     yield made
     made.resolver.close()
-    assert made.loop.watched == 0, "a socket was left"
+    assert made.loop.watched_count == 0, "a socket was left"
 
 
 @pytest.fixture
@@ -80,7 +80,7 @@
     made = Net(2)
     yield made
     made.resolver.close()
-    assert made.loop.watched == 0
+    assert made.loop.watched_count == 0
 
 
 def test_a_good_answer_has_targets_addresses_and_a_lifetime(net: Net) -> None:
@@ -97,7 +97,7 @@
     net = Net()
     got: list[object] = []
     for _ in range(50):
-        net.resolver.ask(SRV, got.append)
+        net.resolver.resolve(SRV, got.append)
     net.until(lambda: len(got) == 50, S)
     assert len(got) == 50 and net.servers[0].counts["SRV"] == 1
     net.run(29 * S, S)
@@ -237,10 +237,10 @@
 
 def test_questions_beyond_the_bound_wait_their_turn(net: Net) -> None:
     got: list[object] = []
-    for number in range(3 * FLIGHTS_MOST):
-        net.resolver.ask(Question(f"h{number}.calls.example.", dns.rdatatype.A), got.append)
-    assert net.resolver.flying == FLIGHTS_MOST
-    assert net.until(lambda: len(got) == 3 * FLIGHTS_MOST, 10 * S)
+    for number in range(3 * MAX_FLIGHTS):
+        net.resolver.resolve(Question(f"h{number}.calls.example.", dns.rdatatype.A), got.append)
+    assert net.resolver.flying == MAX_FLIGHTS
+    assert net.until(lambda: len(got) == 3 * MAX_FLIGHTS, 10 * S)
 
 
 def test_two_thousand_targets_come_in_slices(net: Net) -> None:
@@ -251,7 +251,7 @@
 
 
 def test_an_answer_beyond_the_bound_of_records_is_no_answer(net: Net) -> None:
-    net.servers[0].host("crowd", *(f"10.0.{n // 250}.{n % 250}" for n in range(RECORDS_MOST + 1)))
+    net.servers[0].host("crowd", *(f"10.0.{n // 250}.{n % 250}" for n in range(MAX_RECORDS + 1)))
     before = COUNTERS["dns.fault.unreadable"]
     net.given_up(Question("crowd.calls.example.", dns.rdatatype.A))
     assert COUNTERS["dns.fault.unreadable"] > before
@@ -259,7 +259,7 @@
 
 def test_the_cache_is_bounded_in_number_and_memory_and_lets_the_longest_unused_go() -> None:
     world = World()
-    cache = Cache(Bounds(entries=100, memory=100_000))
+    cache = Cache(CacheLimits(entries=100, memory=100_000))
     names = [Question(f"h{n}.", dns.rdatatype.A) for n in range(300)]
     for question in names:
         cache.put(world.now, question, Answer(60, addresses=("192.0.2.1",)))
@@ -276,7 +276,7 @@
 
 def test_a_name_server_that_was_taken_from_the_settings_is_not_asked(pair: Net) -> None:
     gone, kept = pair.servers
-    pair.resolver.settle(ResolverSettings((kept.address,)))
+    pair.resolver.apply_settings(ResolverSettings((kept.address,)))
     for _ in range(5):
         pair.good(fresh=True)
     assert not gone.asked and len(kept.asked) == 5
@@ -317,14 +317,14 @@
     net.plan("silence")
     end = net.seconds + seconds
     while net.seconds < end:
-        net.resolver.ask(SRV, lambda _: None, fresh=True)
+        net.resolver.resolve(SRV, lambda _: None, fresh=True)
         net.run(500 * MS, 10 * MS)
     net.plan(well)
     back = net.seconds
     health = net.resolver.health.all
     while any(server.failures for server in health.values()) and net.seconds < back + 60:
         if not net.resolver.flying:
-            net.resolver.ask(SRV, lambda _: None, fresh=True)
+            net.resolver.resolve(SRV, lambda _: None, fresh=True)
         net.run(10 * MS)
     return net.seconds - back
 
@@ -349,9 +349,9 @@
         pair.run(8 * S, 100 * MS)
         back.revive()
         began = pair.seconds
-        while isinstance(pair.ask(fresh=True), GivenUp):
+        while isinstance(pair.ask(fresh=True), LookupFailed):
             pair.run(10 * MS)
-        assert pair.seconds - began <= ALONE_BOUND_S + Patience().deadline.total_seconds() / 5
+        assert pair.seconds - began <= ALONE_BOUND_S + QueryTimeouts().deadline.total_seconds() / 5
         for server in pair.servers:
             server.revive()
         pair.run(S)
@@ -369,7 +369,7 @@
     back = pair.seconds
     while pair.resolver.health.all[out.address].failures:
         if not pair.resolver.flying:
-            pair.resolver.ask(SRV, lambda _: None, fresh=True)
+            pair.resolver.resolve(SRV, lambda _: None, fresh=True)
         pair.run(10 * MS)
     assert pair.seconds - back <= BESIDE_REST.total_seconds() * JITTER[1] + 0.5
 
@@ -381,8 +381,8 @@
     wire = dns.message.make_response(query).to_wire()
     data = (noise, wire + noise, wire[:7] + noise + wire[7:], noise[:8] + b"\0\x09" * 2 + noise)[where]
     try:
-        head(data)
-        for _ in (reading := read(data)):
+        read_head(data)
+        for _ in (reading := read_reply(data)):
             pass
         reading.close()
     except ReadError:
@@ -391,7 +391,7 @@
 
 def test_tc_is_never_taken_for_an_answer() -> None:
     query = dns.message.make_query(SRV.name, "SRV")
-    reading = read(dns.message.make_response(query).to_wire())
+    reading = read_reply(dns.message.make_response(query).to_wire())
     with pytest.raises(StopIteration) as end:
         while True:
             next(reading)
@@ -402,4 +402,4 @@
 
 
 def test_a_question_is_patient_but_not_for_ever() -> None:
-    assert Patience().first < Patience().longest < Patience().deadline
+    assert QueryTimeouts().first < QueryTimeouts().longest < QueryTimeouts().deadline
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from reedmount import interface as i
-from reedmount.core.checks import COUNTERS, SAID, SAID_IN_FULL, log
+from reedmount.core.checks import COUNTERS, LOGGED_COUNTS, MAX_FULL_LINES, log
 from reedmount.net.ring import Ring
 from reedmount.sip.framing import next_frame
 from tests.scenario import digits
@@ -166,7 +166,7 @@
     """What call servers cannot read made them close the connection of all calls."""
     stage = Platform("server")
     stage.play(f"caller send INVITE c1 {words} | hello\n caller expect 400 c1\n server expect nothing")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 @pytest.mark.parametrize(
@@ -294,14 +294,14 @@
 
 
 def test_a_log_line_that_input_brings_about_is_not_said_for_ever(capsys: pytest.CaptureFixture[str]) -> None:
-    SAID.clear()
+    LOGGED_COUNTS.clear()
     for _ in range(1000):
         log("again", kind="again")
-    assert len(capsys.readouterr().err.splitlines()) == SAID_IN_FULL + 6
+    assert len(capsys.readouterr().err.splitlines()) == MAX_FULL_LINES + 6
     for number in range(1000):
         log("new", kind=f"kind {number}")
-    assert len(SAID) <= 257
-    SAID.clear()
+    assert len(LOGGED_COUNTS) <= 257
+    LOGGED_COUNTS.clear()
 
 
 def test_releases_wait_for_a_caller_and_their_number_is_bounded() -> None:
@@ -341,7 +341,7 @@
         caller send INVITE c1 x-cos=small x-timer-ms=2000
         server expect INVITE c1
     """)
-    stage.switch.settle(replace(stage.switch.settings, classes=(once, *others), max_attempts=1))
+    stage.switch.apply_settings(replace(stage.switch.settings, classes=(once, *others), max_attempts=1))
     stage.play("""
         other send INVITE c2 x-cos=small x-timer-ms=2000
         server expect INVITE c2
@@ -365,7 +365,7 @@
         server expect 200 c1
         caller expect BYE c1
     """)
-    assert stage.switch.quiet and not stage.switch._leaving
+    assert stage.switch.is_idle and not stage.switch._leaving
 
 
 def test_a_message_in_single_bytes_is_cheap_and_whole(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -409,7 +409,7 @@
 def test_a_slow_writer_outlives_the_crowd_that_never_finishes() -> None:
     """It was closed amid its first set-up, for time or for room; silent and stalled ones stayed."""
     stage = Platform("server")
-    stage.callers.most = 6
+    stage.callers.max_connections = 6
     slow = stage.peer("slow", "thin", stage.callers.address)
     data = slow.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode()
     step = len(data) // 13 + 1
@@ -431,7 +431,7 @@
 
 def test_those_with_the_least_claim_make_room_first() -> None:
     stage = Platform("server")
-    stage.callers.most = 6
+    stage.callers.max_connections = 6
     names = ("silent", "stalled", "idle", "called", "writing", "used")
     peers = [stage.peer(name, "thin", stage.callers.address) for name in names]
     peers[0].write(b"")
@@ -453,7 +453,7 @@
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n caller close reset")
     stage.play("server expect CANCEL c1")
-    assert stage.switch.quiet and not stage.switch._module._calls
+    assert stage.switch.is_idle and not stage.switch._module._calls
 
 
 @pytest.mark.parametrize("counted", ["answered.after_caller", "answered.overdue"])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -121,7 +121,7 @@
             bench.stands(call)
         bench.run_for(50 * MS)
     share = SETTINGS.fall_multiple * SETTINGS.cold_start_share * SETTINGS.fall_span_us / (20 * MS)
-    assert 1 <= cold_sends([bench], fresh, SETTINGS.fall_span_us) <= share / SETTINGS.proxies
+    assert 1 <= cold_sends([bench], fresh, SETTINGS.fall_span_us) <= share / SETTINGS.instances
 
 
 def fleet_cold_sends(proxies: int, servers: int, rate: float) -> tuple[int, float]:
@@ -129,7 +129,7 @@
 
     Every proxy hears of the start at the same moment and sends whatever it is asked to there.
     """
-    setup = replace(SETTINGS, proxies=proxies)
+    setup = replace(SETTINGS, instances=proxies)
     names = [f"w{n}" for n in range(servers - 1)]
     warm = tuple(i.ServerEntry(name, n, i.ServerState.SERVING, 0) for n, name in enumerate(names))
     fleet = [Bench(setup, seed) for seed in range(proxies)]
@@ -167,12 +167,12 @@
 
 def test_unknown_and_ended_calls_are_ignored() -> None:
     bench = with_pool("a")
-    bench.feed(i.CallStands(99, 0, "a", 10))
-    bench.feed(i.CallStands(99, 0, "nowhere", 10))
-    bench.feed(i.CallerGone(99))
+    bench.feed(i.CallEstablished(99, 0, "a", 10))
+    bench.feed(i.CallEstablished(99, 0, "nowhere", 10))
+    bench.feed(i.CallerAbandoned(99))
     bench.feed(i.TimerFired("stale"))
     bench.feed(i.PeerNote(3, b"noise"))
-    bench.feed(i.Reports((("nowhere", i.LoadReport()),)))
+    bench.feed(i.LoadReports((("nowhere", i.LoadReport()),)))
     report = i.LoadReport(wait_us=1)
     bench.feed(i.AttemptEnded(99, 0, "nowhere", i.Outcome.RESET, True, 1, i.Cause.NONE, report))
     assert not [action for _, action in bench.log if not isinstance(action, i.SetTimer)]
@@ -219,7 +219,7 @@
             gone = sorted(bench.owed)[number % len(bench.owed)]
             del bench.owed[gone]
             bench.out.pop(gone, None)
-            bench.feed(i.CallerGone(gone))
+            bench.feed(i.CallerAbandoned(gone))
         else:
             bench.run_for(number * 10 * MS)
         assert not bench.overdue()
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -115,7 +115,7 @@
 
 def test_a_pause_is_no_longer_than_callers_heed() -> None:
     """Told a second and more where they heed a fifth of one, callers came back at the bound all at once."""
-    bench = Bench(replace(SETTINGS, longest_pause_us=200 * MS))
+    bench = Bench(replace(SETTINGS, max_retry_after_us=200 * MS))
     calls = [bench.call("small", left_us=8 * S) for _ in range(5)]
     bench.run_for(2 * S)
     answers = [bench.finals[call] for call in calls]
@@ -133,11 +133,11 @@
 
 def test_the_window_grows_only_when_it_was_full() -> None:
     """Grown on idle days it let a jump in calls pile up at the servers."""
-    bench = with_pool("a", proxies=1)
+    bench = with_pool("a", instances=1)
     for _ in range(40):
         bench.stands(bench.call(), 20 * MS)
     quiet = [bench.where(bench.call()) for _ in range(12)]
-    busy_bench = with_pool("a", proxies=1)
+    busy_bench = with_pool("a", instances=1)
     for _ in range(12):
         for _ in range(6):
             busy_bench.call()
@@ -196,7 +196,7 @@
 
 def test_the_way_there_and_back_is_not_taken_for_a_line() -> None:
     """At 400 calls a second and 30 ms of way, a window of two sent 40% of them (real day, seed 3)."""
-    bench = with_pool("a", proxies=3)
+    bench = with_pool("a", instances=3)
     for _ in range(300):
         for _ in range(8):
             bench.call()
@@ -210,7 +210,7 @@
     """Many proxies that each have four set-ups out make a line past the resend gap."""
     out = []
     for proxies in (1, 8):
-        bench = with_pool("a", proxies=proxies)
+        bench = with_pool("a", instances=proxies)
         for _ in range(60):
             bench.call()
             for call in sorted(bench.out):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,7 +14,7 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.core.lifecycle import Lifecycle, Phase
-from reedmount.core.shutdown import Departure, earliest_kill
+from reedmount.core.shutdown import Shutdown, earliest_kill
 from tests.scenario import HOST, VirtualTime
 from tests.test_board import notice
 from tests.test_config import changed, platform
@@ -35,32 +35,32 @@
 @pytest.mark.parametrize("longest", [300, 1000, 1200, 3000, 9000])
 def test_the_steps_of_an_end_come_in_their_order_and_before_the_kill(longest: int) -> None:
     kill_at = T0 + earliest_kill(longest * MS)
-    departure = Departure(T0, kill_at)
-    assert departure.test_at is not None and departure.close_at is not None
-    assert T0 < departure.test_at < departure.answer_by < departure.close_at < kill_at - 100 * MS
-    assert not departure.over(departure.close_at) and departure.over(kill_at - 20 * MS)
-    assert not departure.refuses(T0 + 500 * MS) and departure.refuses(departure.close_at)
+    shutdown = Shutdown(T0, kill_at)
+    assert shutdown.probe_at is not None and shutdown.close_at is not None
+    assert T0 < shutdown.probe_at < shutdown.answer_by < shutdown.close_at < kill_at - 100 * MS
+    assert not shutdown.is_past_deadline(shutdown.close_at) and shutdown.is_past_deadline(kill_at - 20 * MS)
+    assert not shutdown.refuses_setups(T0 + 500 * MS) and shutdown.refuses_setups(shutdown.close_at)
 
 
 def test_a_drain_has_no_end_of_its_own() -> None:
-    departure = Departure(T0)
+    shutdown = Shutdown(T0)
     late = T0 + timedelta(hours=1)
-    assert departure.refuses(late) and departure.hurries(late)
-    assert not departure.closes_all(late) and not departure.over(late)
+    assert shutdown.refuses_setups(late) and shutdown.skips_quiet_period(late)
+    assert not shutdown.closes_all_connections(late) and not shutdown.is_past_deadline(late)
 
 
 def test_the_lifecycle_keeps_the_first_end_and_forgets_a_drain_that_is_undone() -> None:
     time = VirtualTime()
     life = Lifecycle(time.clock)
     life.quiesce()
-    assert life.departure is not None and life.departure.kill_at is None
+    assert life.shutdown is not None and life.shutdown.kill_at is None
     life.resume()
-    assert life.departure is None
+    assert life.shutdown is None
     life.end(KILL_AFTER)
-    first = life.departure
+    first = life.shutdown
     time.seconds += 1
     life.end(10 * KILL_AFTER)
-    assert life.departure is first and life.phase is Phase.ENDING
+    assert life.shutdown is first and life.phase is Phase.ENDING
 
 
 # --- on connections ---
@@ -89,7 +89,7 @@
     stage.play(STANDS)
     ending(stage)
     stage.play("wait 1400\n caller expect nothing\n wait 100\n caller expect CLOSED")
-    assert not stage.switch.quiet, "the call itself goes on: the next process hears its release"
+    assert not stage.switch.is_idle, "the call itself goes on: the next process hears its release"
 
 
 def test_a_set_up_that_lies_unread_as_all_is_closed_is_answered_first() -> None:
@@ -120,7 +120,7 @@
         stage.play(f"caller send {SETUP.replace('c1', name)}\n caller expect 503 {name}\n wait 300")
     stage.play("server send BYE c1 reason=Q.850;cause=16\n server expect 200 c1\n caller expect BYE c1")
     stage.play("wait 100\n caller expect CLOSED")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_calls_at_a_silent_server_are_told_before_the_process_ends() -> None:
@@ -128,28 +128,28 @@
     stage = Platform("server", "second")
     stage.play(STANDS)
     stage.peers["server"].answers = False
-    departure = Departure(stage.loop.clock.now(), stage.loop.clock.now() + KILL_AFTER)
-    assert departure.test_at is not None and departure.close_at is not None
-    stage.loop.at(departure.test_at, stage.side.test_holders)
-    stage.loop.at(departure.close_at, stage.side.lose_unheard)
+    shutdown = Shutdown(stage.loop.clock.now(), stage.loop.clock.now() + KILL_AFTER)
+    assert shutdown.probe_at is not None and shutdown.close_at is not None
+    stage.loop.call_at(shutdown.probe_at, stage.side.probe_servers)
+    stage.loop.call_at(shutdown.close_at, stage.side.drop_silent_servers)
     stage.play("wait 1400\n caller expect nothing\n wait 100\n caller expect BYE c1 reason=Q.850;cause=41")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_calls_at_a_server_that_answers_stand_on_as_the_process_ends() -> None:
     stage = Platform("server")
     stage.play(STANDS)
-    stage.side.test_holders()
+    stage.side.probe_servers()
     stage.play("wait 50")
-    stage.side.lose_unheard()
+    stage.side.drop_silent_servers()
     stage.play("wait 50\n caller expect nothing")
-    assert not stage.switch.quiet
+    assert not stage.switch.is_idle
 
 
 def test_a_release_that_nobody_can_be_told_of_any_more_is_not_confirmed() -> None:
     """It was, with no client there, and so it never came again to the next process."""
     stage = Platform("server")
-    stage.side.is_untold = stage.callers.is_untold
+    stage.side.has_untold_release = stage.callers.has_untold_release
     stage.play(STANDS + "caller close\n wait 10")
     ending(stage)
     stage.play("server send BYE c1 reason=Q.850;cause=16\n wait 100\n server expect nothing")
@@ -180,7 +180,7 @@
     """Clients send on open connections for as long as these are open, whatever the deadlines."""
     nobody = {"rev": 1, "notices": [notice(1, whole=True)]}
     platform(tmp_path, known=nobody, settings=changed(deadline=1_000_000))
-    chance = random.Random(5)
+    rng = random.Random(5)
     with started(GW_CONFIG=str(tmp_path / "config.json"), GW_LISTEN=f"{HOST}:0") as process:
         port = int(line(process).rpartition(":")[2])
         with socket.create_connection((HOST, port)) as caller:
@@ -188,7 +188,7 @@
                 os.kill(process.pid, signal.SIGTERM)
             sent, heard, closed = 0, b"", False
             while not closed:
-                if select.select([caller], [], [], chance.uniform(0, 0.01))[0]:
+                if select.select([caller], [], [], rng.uniform(0, 0.01))[0]:
                     try:
                         data = caller.recv(65536)
                     except ConnectionResetError:
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -11,12 +11,12 @@
 import pytest
 
 from reedmount import interface as i
-from reedmount.core.checks import COUNTERS, SAID, invariant
-from reedmount.core.fault_isolation import contained
-from reedmount.core.ports import Listed, Setup
+from reedmount.core.checks import COUNTERS, LOGGED_COUNTS, invariant
+from reedmount.core.fault_isolation import run_isolated
+from reedmount.core.ports import ListedServer, Setup
 from reedmount.core.switch import Switch
 from reedmount.fronts.sip import SipFront, SipSettings
-from reedmount.fronts.sip_servers import PROGRESS_MOST, SipServers
+from reedmount.fronts.sip_servers import MAX_PROGRESS, SipServers
 from reedmount.sip.message import Message, parameter, response
 from reedmount.sip.transaction import Timers
 from tests.scenario import HOST, Stage
@@ -52,10 +52,10 @@
 
     def tell(self, *names: str, serving: bool = True, version: int = 1) -> None:
         entries = [
-            Listed(name, (HOST, self.peers[name].port), number, serving, False, None, self.kind)
+            ListedServer(name, (HOST, self.peers[name].port), number, serving, False, None, self.kind)
             for number, name in enumerate(names, 1)
         ]
-        self.switch.pool(version, i.ListKind.CHANGES, entries)
+        self.switch.pool_changed(version, i.ListKind.CHANGES, entries)
         self.settle()
 
 
@@ -92,7 +92,7 @@
         {client} send 200 BYE
     """
     )
-    assert stage.switch.quiet and not stage.front.legs and not stage.front.server_legs
+    assert stage.switch.is_idle and not stage.front.legs and not stage.front.server_legs
 
 
 def test_a_refusal_tells_when_to_come_back_and_its_repeat_gets_the_same_answer() -> None:
@@ -209,7 +209,7 @@
         wait 3000
         phone expect nothing
     """)
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_no_cancel_goes_out_before_something_was_heard() -> None:
@@ -444,7 +444,7 @@
     stage = Sip("server")
     stage.play(RUNG)
     great = [kind for kind in stage.switch.settings.classes if kind.name == "great"]
-    stage.switch.settle(replace(stage.switch.settings, classes=tuple(great)))
+    stage.switch.apply_settings(replace(stage.switch.settings, classes=tuple(great)))
     stage.front.settings = replace(stage.front.settings, default_class="great", waits={"great": WAIT})
     stage.play("server send 200 INVITE | there\n server expect ACK\n phone expect 200 c1 body=there")
     stage.play("desk send INVITE c2 x-cos=small\n desk expect 100 c2\n server expect INVITE")
@@ -479,7 +479,7 @@
 
 def test_datagrams_that_cannot_be_read_do_not_fill_the_log(capsys: pytest.CaptureFixture[str]) -> None:
     """Each added a line: 460 KB in 12 s from one sender."""
-    SAID.clear()
+    LOGGED_COUNTS.clear()
     stage = Sip("server")
     phone = stage.peers["phone"]
     for number in range(500):
@@ -490,7 +490,7 @@
     stage.settle()
     said = [line for line in capsys.readouterr().err.splitlines() if line.startswith("sip:")]
     assert 0 < len(said) < 40
-    SAID.clear()
+    LOGGED_COUNTS.clear()
 
 
 def broken(*_: object, **__: object) -> None:
@@ -520,11 +520,11 @@
     stage = Sip("server", max_attempts=1)
     stage.play(RUNG)
     with monkeypatch.context() as patch:
-        patch.setattr(stage.switch, "stands", broken)
+        patch.setattr(stage.switch, "established", broken)
         stage.play("server send 200 INVITE\n server expect ACK\n server expect BYE\n server send 200 BYE")
         stage.play("phone expect 503 c1 retry-after=*")
     stage.wait(timedelta(seconds=40))
-    assert stage.switch.quiet, "one final answer, and nothing is left"
+    assert stage.switch.is_idle, "one final answer, and nothing is left"
 
 
 def test_a_fault_in_reading_a_stream_ends_that_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -543,8 +543,8 @@
         invariant(False, "planted")
 
     with pytest.raises(AssertionError):
-        contained("test", breaks)
-    assert not contained("test", broken, broken), "a fault in ending is contained as well"
+        run_isolated("test", breaks)
+    assert not run_isolated("test", broken, broken), "a fault in ending is contained as well"
     assert COUNTERS["faults.test.ending"] >= 1
 
 
@@ -572,9 +572,9 @@
     assert [word for word in posted if "CancelSetup" in word] == [f"{asked} CancelSetup"]
     stage.play(f"{asked} expect ACK")
     assert not side._out
-    gone = [Listed(name, (HOST, stage.peers[name].port), number, False, True, None, kind)
+    gone = [ListedServer(name, (HOST, stage.peers[name].port), number, False, True, None, kind)
             for number, name in enumerate(names, 1)]  # fmt: skip
-    stage.switch.pool(9, i.ListKind.CHANGES, gone)
+    stage.switch.pool_changed(9, i.ListKind.CHANGES, gone)
     stage.wait(timedelta(seconds=40))
     assert not side._peers
 
@@ -584,8 +584,8 @@
     side = stage.switch._servers
     assert isinstance(side, SipServers)
     stage.play(call("phone", "server"))
-    gone = Listed("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
-    stage.switch.pool(9, i.ListKind.CHANGES, [gone])
+    gone = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
+    stage.switch.pool_changed(9, i.ListKind.CHANGES, [gone])
     stage.wait(timedelta(seconds=1))
     assert list(side._peers) == ["server"]
     stage.play("phone send BYE c1\n phone expect 200 c1\n server expect BYE\n server send 200 BYE")
@@ -606,9 +606,9 @@
     side = stage.switch._servers
     assert isinstance(side, SipServers)
     peer = side._peers["server"]
-    gone = Listed("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
+    gone = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
     ended: list[tuple[str, i.Outcome]] = []
-    stage.switch.ended = lambda name, attempt, outcome, *_: ended.append((name, outcome))  # type: ignore[method-assign]
+    stage.switch.attempt_ended = lambda name, attempt, outcome, *_: ended.append((name, outcome))  # type: ignore[method-assign]
     peer.post(gone)
     side.send(Setup("late", 0, "server", "small", "100", WAIT, b""))
     stage.wait(timedelta(milliseconds=50))
@@ -641,7 +641,7 @@
     for _ in range(100):
         stage.play("server send 180 INVITE")
     stage.settle()
-    assert len(stage.peers["phone"].inbox) == PROGRESS_MOST
+    assert len(stage.peers["phone"].inbox) == MAX_PROGRESS
 
 
 def test_what_was_told_of_an_attempt_that_failed_is_another_early_dialog_than_the_next() -> None:
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from reedmount.core.checks import COUNTERS, SAID
+from reedmount.core.checks import COUNTERS, LOGGED_COUNTS
 from reedmount.core.lifecycle import Phase
 from reedmount.core.ports import Offer, Progress
 from reedmount.dns.health import ALONE_REST, JITTER
-from reedmount.net.connection import text_of
-from reedmount.pool.claims import Claim, Word
+from reedmount.net.connection import format_address
+from reedmount.pool.claims import Claim, ClaimState
 from reedmount.pool.rule import Rule
 from standins.callserver import CallServer
 from standins.nameserver import FAULTS
@@ -72,7 +72,7 @@
     assert site.referee.late(site.servers) == [] and callers.faults() == []
     entry = site.host.pool.entries[site.servers[0].address]
     assert entry.rule is Rule.GONE
-    assert site.host.pool.words(site.now, entry.place)["srv"] is Word.SERVING
+    assert site.host.pool.words(site.now, entry.endpoint)["srv"] is ClaimState.SERVING
 
 
 def test_the_list_is_silent_and_srv_drains(tmp_path: Path) -> None:
@@ -132,7 +132,7 @@
 
 def test_all_name_servers_dead_at_the_start(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     """It starts, says so, serves from the list, and takes what is new an hour later for cold."""
-    SAID.clear()  # earlier tests may have said this kind of line too often
+    LOGGED_COUNTS.clear()  # earlier tests may have said this kind of line too often
     site = Site(tmp_path, dead=True, cold_s=14.0)
     site.run(8 * S)
     assert "going on with 3 call servers" in capsys.readouterr().err
@@ -263,7 +263,7 @@
     assert site.node.switch.offer(offer, heard)
     site.seconds += 0.001
     claim = Claim(other.address, "c1.calls.example", transport="udp", priority=10, weight=10)
-    site.host.whole("srv", [claim], SRV, S, S)
+    site.host.full_update("srv", [claim], SRV, S, S)
     assert site.host.pool.entries.get(leaving.address) is None, "told, before the module has looked at it"
     site.run(2 * S)
     assert not leaving.invites and other.invites and heard.finals == ["stands"]
@@ -328,9 +328,9 @@
     site.run(2 * S)
     site.drain(site.servers[0])
     site.run(S)
-    door = site.node.door
-    assert door is not None
-    with socket.create_connection(door.address, 5) as operator:
+    admin_server = site.node.admin_server
+    assert admin_server is not None
+    with socket.create_connection(admin_server.address, 5) as operator:
         operator.sendall(b"GET /admin/pool HTTP/1.1\r\nHost: x\r\n\r\n")
         operator.settimeout(0.05)
         said = b""
@@ -374,16 +374,16 @@
     leaving = site.servers[0].address
     many = [Claim(("127.0.0.9", port), "x", transport="udp", priority=99) for port in range(1, 2001)]
     named = [Claim(server.address, "c", transport="udp", priority=10) for server in site.servers]
-    site.host.whole("zone", named)
+    site.host.full_update("zone", named)
     site.run(50 * MS)
-    site.host.whole("srv", [*many, *named], "other", 60 * S)
+    site.host.full_update("srv", [*many, *named], "other", 60 * S)
     assert len(site.host.pool.entries) < 100, "it has only begun"
-    site.host.whole("zone", named[1:])
+    site.host.full_update("zone", named[1:])
     assert not site.host.pool.entries[leaving].serves
     told = [entry for entry, serving in site.host._told.items() if not serving]
-    assert text_of(leaving) in told, "and the core knows"
+    assert format_address(leaving) in told, "and the core knows"
     site.run(S)
-    site.host.whole("srv", named, "other", 60 * S)
+    site.host.full_update("srv", named, "other", 60 * S)
     site.run(100 * MS)
     assert len(site.host.pool.entries) == 2, "2,000 that leave at once are told within 250 ms"
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -22,8 +22,8 @@
 from reedmount.store.frame import (
     HEAD,
     MARKER,
+    MAX_VALUE,
     SEGMENT_HEAD,
-    VALUE_MOST,
     Fault,
     Kind,
     Record,
@@ -55,7 +55,7 @@
 
 
 def test_what_is_too_long_is_not_written_and_a_head_of_later_versions_is_refused() -> None:
-    for key, value in ((b"", b""), (b"k" * 256, b""), (b"k", bytes(VALUE_MOST + 1))):
+    for key, value in ((b"", b""), (b"k" * 256, b""), (b"k", bytes(MAX_VALUE + 1))):
         with pytest.raises(ValueError, match="bytes"):
             encode(Record(1, Kind.PUT, key, value))
     head = SegmentHead(bytes(8), 7, 2)
@@ -66,10 +66,10 @@
 
 def written(count: int, first: int = 1) -> tuple[bytes, list[int]]:
     """Records in a row and where each begins; some hold what looks like the beginning of another."""
-    chance, data, places = random.Random(count), bytearray(), []
+    rng, data, places = random.Random(count), bytearray(), []
     for number in range(first, first + count):
         places.append(len(data))
-        value = MARKER * (number % 3) + chance.randbytes(chance.randrange(60))
+        value = MARKER * (number % 3) + rng.randbytes(rng.randrange(60))
         data += encode(Record(number, Kind.PUT, b"k%d" % number, value))
     return bytes(data), places
 
@@ -149,17 +149,17 @@
 
 def test_what_was_put_is_there_after_any_number_of_openings_and_compactions(folder: Path) -> None:
     held: dict[bytes, bytes] = {}
-    chance = random.Random(4)
+    rng = random.Random(4)
     for _ in range(6):
         hand = Hand(folder)
         assert hand.opened.whole and {key: hand.log.get(key) for key in hand.log} == held
         for _ in range(80):
-            key = b"k%d" % chance.randrange(25)
-            if chance.random() < 0.3:
+            key = b"k%d" % rng.randrange(25)
+            if rng.random() < 0.3:
                 hand.log.delete(key)
                 held.pop(key, None)
             else:
-                held[key] = chance.randbytes(chance.randrange(90))
+                held[key] = rng.randbytes(rng.randrange(90))
                 hand.log.put(key, held[key])
             assert hand.write()
             if hand.log.wants_compaction:
@@ -284,7 +284,7 @@
     @initialize(seed=st.integers(0, 10**6))
     def begin(self, seed: int) -> None:
         self.folder = TemporaryDirectory()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.put_ever: dict[bytes, set[bytes]] = {}
         self.steps: dict[bytes, list[bytes | None]] = {}  # from the last one that is durable on
         self.turned = self.lied = False
@@ -299,7 +299,7 @@
 
     @rule(key=st.integers(0, 5), size=st.integers(0, 80))
     def put(self, key: int, size: int) -> None:
-        name, value = b"k%d" % key, self.chance.randbytes(size)
+        name, value = b"k%d" % key, self.rng.randbytes(size)
         assert self.hand.log.put(name, value) is not None
         self.put_ever.setdefault(name, set()).add(value)
         self.steps.setdefault(name, [None]).append(value)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,13 +17,13 @@
 from reedmount import interface as i
 from reedmount.core.checks import COUNTERS
 from reedmount.core.lifecycle import Phase
-from reedmount.core.ports import Listed
+from reedmount.core.ports import ListedServer
 from reedmount.core.switch import Switch
-from reedmount.fronts.board import Board, Pool
+from reedmount.fronts.board import Board, BoardList
 from reedmount.fronts.call_servers import CallServers
-from reedmount.fronts.handover import FILE, Heirs, ask
+from reedmount.fronts.handover import FILE, SuccessorListener, request_listener
 from reedmount.fronts.platform import Callers
-from reedmount.fronts.server_connection import Terms
+from reedmount.fronts.server_connection import ConnectionLimits
 from reedmount.net.connection import bind
 from tests.scenario import HOST, Stage
 from tests.test_board import notice
@@ -37,21 +37,23 @@
 
     def __init__(self) -> None:
         super().__init__("server")
-        self.heir = Switch(self.loop, self.switch.settings, 2)
-        self.heir.attach(CallServers(self.loop, self.heir, Terms(timedelta(milliseconds=500)), 16))
-        self.new = Callers(self.loop, self.heir, (HOST, 0), 100, bind((HOST, 0)))
+        self.successor = Switch(self.loop, self.switch.settings, 2)
+        self.successor.attach(
+            CallServers(self.loop, self.successor, ConnectionLimits(timedelta(milliseconds=500)), 16)
+        )
+        self.new = Callers(self.loop, self.successor, (HOST, 0), 100, bind((HOST, 0)))
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.callers.twin.join(near)
-        self.callers.twin.on("ready", lambda _: self.callers.hand_over())
-        self.callers.twin.on_lost = self.callers.take_back
-        self.new.twin.join(far)
+        self.callers.handover_peer.join(near)
+        self.callers.handover_peer.on("ready", lambda _: self.callers.hand_over())
+        self.callers.handover_peer.on_lost = self.callers.take_back
+        self.new.handover_peer.join(far)
         self.new.listener.start()
         self.peer("late", "thin", self.new.address)
-        entry = Listed("server", (HOST, self.peers["server"].port), 1, True, False, None)
-        self.heir.pool(1, i.ListKind.CHANGES, [entry])
+        entry = ListedServer("server", (HOST, self.peers["server"].port), 1, True, False, None)
+        self.successor.pool_changed(1, i.ListKind.CHANGES, [entry])
 
     def ready(self) -> None:
-        self.new.twin.tell("ready")
+        self.new.handover_peer.tell("ready")
         self.settle()
 
 
@@ -87,7 +89,7 @@
         server expect 200 c2
         late expect BYE c2
     """)
-    assert stage.switch.quiet and not stage.heir.quiet
+    assert stage.switch.is_idle and not stage.successor.is_idle
 
 
 def test_an_end_that_begins_before_the_new_one_is_ready_changes_nothing(stage: Pair) -> None:
@@ -96,15 +98,15 @@
     stage.switch.lifecycle.end()
     stage.ready()
     stage.play("wait 100\n caller expect CLOSED")
-    assert stage.callers.quiet
+    assert stage.callers.is_idle
 
 
 def test_room_that_shrinks_is_given_up_at_the_next_newcomer(stage: Pair) -> None:
-    stage.callers.most = 8
+    stage.callers.max_connections = 8
     for _ in range(2):
         crowd = [socket.create_connection(stage.callers.address) for _ in range(8)]
         stage.wait(timedelta(milliseconds=600))
-        stage.callers.most = 3
+        stage.callers.max_connections = 3
     assert len(stage.callers._links) == 3
     for sock in crowd:
         sock.close()
@@ -121,7 +123,7 @@
         server expect CANCEL c2
         server expect nothing
     """)
-    assert stage.switch.quiet and stage.heir.quiet
+    assert stage.switch.is_idle and stage.successor.is_idle
     COUNTERS.add("twin.out.bye", -COUNTERS["twin.out.bye"])
     stage.play("late send BYE c9\n late expect 200 c9\n server expect BYE c9\n server expect nothing")
     assert COUNTERS["twin.out.bye"] == 1, "what neither knows is not passed to and fro"
@@ -139,7 +141,7 @@
         """)
     for number in range(20):
         stage.play(f"late send BYE a{number}\n late expect 200 a{number}\n server expect BYE a{number}")
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
     for number in range(40):
         stage.play(f"late send BYE b{number}\n late expect 200 b{number}")
     assert len(stage.peers["server"].inbox) == 16
@@ -159,18 +161,18 @@
         server expect 200 c1
         late expect nothing
     """)
-    assert stage.switch.quiet
+    assert stage.switch.is_idle
 
 
 def test_the_new_one_takes_the_room_that_is_left(stage: Pair) -> None:
     """Descriptors are counted for both together."""
     stage.ready()
     stage.wait(timedelta(milliseconds=250))
-    assert stage.new.room == 100 - stage.loop.watched - 6
-    stage.new.twin._hear({"what": "held", "count": 1000})
+    assert stage.new.room == 100 - stage.loop.watched_count - 6
+    stage.new.handover_peer._hear({"what": "held", "count": 1000})
     assert stage.new.room == 8
-    stage.new.twin._hear({"what": "held"})
-    stage.new.twin._hear({"what": "a word of another version"})
+    stage.new.handover_peer._hear({"what": "held"})
+    stage.new.handover_peer._hear({"what": "a word of another version"})
     assert stage.new.room == 8
 
 
@@ -180,8 +182,8 @@
     client.sendall(b"OPTIONS sip:p@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
     stage.settle()
     assert not stage.callers._links
-    assert stage.new.twin._channel is not None
-    stage.new.twin._channel.close()
+    assert stage.new.handover_peer._channel is not None
+    stage.new.handover_peer._channel.close()
     stage.settle()
     assert stage.switch.lifecycle.ready and client.recv(12) == b"SIP/2.0 200 "
     client.close()
@@ -194,14 +196,14 @@
     old = bind((HOST, 0), shared=True)
     waiting = [socket.create_connection(old.getsockname()) for _ in range(50)]
     joined: list[socket.socket] = []
-    heirs = Heirs(stage.loop, deep, old, joined.append)
-    heirs.open()
+    successors = SuccessorListener(stage.loop, deep, old, joined.append)
+    successors.open()
     assert stat.S_IMODE((deep / FILE).stat().st_mode) == 0o600
     child = os.fork()
     if not child:
         stage.loop.turn(timedelta(seconds=5))
         os._exit(0)
-    found = ask(deep, old.getsockname())
+    found = request_listener(deep, old.getsockname())
     os.waitpid(child, 0)
     old.close()
     assert found is not None
@@ -217,19 +219,19 @@
 
 def test_a_dead_one_s_file_a_silent_one_and_none_at_all_give_nothing(tmp_path: Path) -> None:
     wait = timedelta(milliseconds=50)
-    assert ask(tmp_path, (HOST, 1), wait) is None
+    assert request_listener(tmp_path, (HOST, 1), wait) is None
     (tmp_path / FILE).write_text("no socket")
-    assert ask(tmp_path, (HOST, 1), wait) is None
+    assert request_listener(tmp_path, (HOST, 1), wait) is None
     (tmp_path / FILE).unlink()
     silent = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     silent.bind(str(tmp_path / FILE))
     silent.listen()
-    assert ask(tmp_path, (HOST, 1), wait) is None
+    assert request_listener(tmp_path, (HOST, 1), wait) is None
     silent.close()
-    assert ask(tmp_path, (HOST, 1), wait) is None, "a dead one's file"
+    assert request_listener(tmp_path, (HOST, 1), wait) is None, "a dead one's file"
     stage = Stage()
-    heirs = Heirs(stage.loop, tmp_path, bind((HOST, 0)), lambda _: None)
-    heirs.open()
+    successors = SuccessorListener(stage.loop, tmp_path, bind((HOST, 0)), lambda _: None)
+    successors.open()
     again = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     again.connect(str(tmp_path / FILE))
     again.close()
@@ -240,7 +242,7 @@
     """The file is as old as the old process: servers that have gone since would be sent calls."""
     stage = Stage()
     server, told = socket.create_server((HOST, 0)), []
-    Board(stage.loop, server.getsockname(), Pool(Switch(stage.loop, platform(tmp_path).settings, 1)),
+    Board(stage.loop, server.getsockname(), BoardList(Switch(stage.loop, platform(tmp_path).settings, 1)),
           lambda: told.append(1))  # fmt: skip
     stage.settle()
     board, _ = server.accept()
