--- a/reedmount/core/background.py
+++ b/reedmount/core/background.py
@@ -111,7 +111,7 @@
         return self._count > 0
 
     def add(self, name: str, work: Work, urgency: Urgency, max_delay: timedelta) -> Job | None:
-        """Do it when there is time, and after ``patience`` whether there is or not.
+        """Do it when there is time, and after ``max_delay`` whether there is or not.
 
         ``name`` is what it is counted by (``background.NAME.*``). None where too much waits already: the
         caller does without, and it is counted.
--- a/reedmount/dns/reader.py
+++ b/reedmount/dns/reader.py
@@ -1,7 +1,7 @@
 """DNS messages from the wire, record by record: reading a long one never holds the loop for long.
 
 Names and records are read by dnspython; this module walks the sections (RFC 1035, section 4.1) and lets go
-after each slice. Everything is bounded: the message's size by its transport, the records by ``RECORDS_MOST``.
+after each slice. Everything is bounded: the message's size by its transport, the records by ``MAX_RECORDS``.
 """
 
 from __future__ import annotations
--- a/reedmount/interface.py
+++ b/reedmount/interface.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of calls: ``aim_us`` is the wanted set-up time, ``late_share`` the worth left after it."""
+    """One class of calls: ``target_us`` is the wanted set-up time, ``late_share`` the worth left after it."""
 
     name: str
     worth: float
--- a/reedmount/members/capacity_sharing.py
+++ b/reedmount/members/capacity_sharing.py
@@ -9,7 +9,7 @@
 
 of what the whole may be, with the most at x = c. The module's guard of cold servers leaves at most 13/16 of
 what tips one (docstring of ``_cold_admits``), so 2 - c must stay under 16/13 = 1.23: c is at least 0.77.
-``LEAST_SHARE`` is 0.8: 1.2 times 13/16 is 0.975 of what tips it.
+``MIN_SHARE`` is 0.8: 1.2 times 13/16 is 0.975 of what tips it.
 """
 
 from __future__ import annotations
--- a/reedmount/members/knowledge.py
+++ b/reedmount/members/knowledge.py
@@ -1,11 +1,11 @@
 """What members know of call servers, told to each other with its age; what a newcomer believes of it. Pure.
 
 A fact is what one member saw of one server itself, and how long ago. On its way it only grows older: whoever
-passes it on adds the time that it kept it, and ``WAY_MOST`` for the way, which nobody measures. No clock is
+passes it on adds the time that it kept it, and ``MAX_WAY`` for the way, which nobody measures. No clock is
 compared with another.
 
 Facts of one server are joined by their medians over different observers, so that of three no one carries the
-others: neither one that lies nor one whose view is stale. With fewer than ``OBSERVERS_LEAST`` nothing is
+others: neither one that lies nor one whose view is stale. With fewer than ``MIN_OBSERVERS`` nothing is
 believed that would have us send more than we do without it. Where facts disagree on whether a server may be
 used, the safer view wins, for a bounded time: a drain, a removal or a start that anyone saw lately holds back
 new work until our own list has had time to say so or not.
--- a/reedmount/members/protocol.py
+++ b/reedmount/members/protocol.py
@@ -50,8 +50,9 @@
         seed: int,
         nonvoters: bool = True,
     ) -> None:
-        """``rosters``: ours, then those before it that others may still go by. ``ways_in``: addresses to join
-        by. ``guests``: whether members outside the rosters are taken (they never count)."""
+        """``voter_sets``: ours, then those before it that others may still go by. ``seed_addresses``:
+        addresses to join by. ``nonvoters``: whether members outside the rosters are taken (they
+        never count)."""
         self.timing, self.group = timing, group_of(group)
         self.health = LocalHealth()
         self.damping = Damping()
--- a/reedmount/sources/lists.py
+++ b/reedmount/sources/lists.py
@@ -24,7 +24,7 @@
         self._host = host
 
     def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
-        """As ``Switch.pool``; the versions have been checked by the reader."""
+        """As ``Switch.pool_changed``; the versions have been checked by the reader."""
         claims = [self._claim(entry) for entry in entries]
         if kind is i.ListKind.CHANGES:
             self._host.partial_update(BOARD, claims)
--- a/reedmount/sources/member_reports.py
+++ b/reedmount/sources/member_reports.py
@@ -20,7 +20,7 @@
 
 
 class MemberReports:
-    """Joins the pool and the members. What to do about a word is decided in ``members/hearsay.py``."""
+    """Joins the pool and the members. What to do about a word is decided in ``members/server_reports.py``."""
 
     def __init__(
         self, host: PoolHost, membership: Membership, name: str, cold: timedelta, bound: timedelta
