--- a/reedmount/pool/__init__.py
+++ b/reedmount/pool/__init__.py
@@ -1,1 +1,1 @@
-"""What each source says of the call servers, the rule where they disagree, which bands are open. No I/O."""
+"""The pool of call servers: claims of each source, the rule that merges them, priority bands. No I/O."""
--- a/reedmount/pool/claims.py
+++ b/reedmount/pool/claims.py
@@ -1,4 +1,4 @@
-"""What sources say of call servers: claims as they come, and what they are worth at an instant."""
+"""Claims that sources make about call servers, and the state of a claim at a given time."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from datetime import datetime
 from enum import Enum
 
-Endpoint = tuple[str, int]  # address and port: that is what a call server is, whatever its names
+Endpoint = tuple[str, int]  # address and port identify a call server, whatever its names are
 
 
 class ClaimState(Enum):
-    """What one source says of one server, at an instant."""
+    """State of one source's claim about one server at a given time."""
 
     UNNAMED = "unnamed"
     SERVING = "serving"
-    STALE = "stale"  # named last; its lifetime is over, the bound for keeping it is not
-    EXPIRED = "expired"  # the bound is over as well
+    STALE = "stale"  # its lifetime has expired, the limit for keeping it has not
+    EXPIRED = "expired"  # the limit for keeping it has passed as well
     DRAINING = "draining"
-    GONE = "gone"  # said so, or left out of a complete, good answer
+    GONE = "gone"  # reported as gone, or missing from a complete, valid answer
 
 
 LEAVING = frozenset((ClaimState.DRAINING, ClaimState.GONE))
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One server as a source names it. ``started`` only where the source knows it: none of DNS does."""
+    """A source's claim about one server. ``started`` is None where unknown, as with DNS."""
 
     endpoint: Endpoint
     name: str
-    state: ClaimState = ClaimState.SERVING  # or DRAINING or GONE; the others are a matter of time
-    transport: str | None = None  # None where the source does not say
+    state: ClaimState = ClaimState.SERVING  # or DRAINING or GONE; the pool derives the others from the age
+    transport: str | None = None  # None where the source does not name one
     started: datetime | None = None
-    priority: int | None = None  # RFC 2782: the lower first; None where the source ranks none
+    priority: int | None = None  # RFC 2782: the lowest is used first; None where the source has none
     weight: int | None = None
 
     def __post_init__(self) -> None:
-        """Ages are the pool's to tell."""
+        """Reject states that only the pool derives from the age of a claim."""
         if self.state not in (ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE):
-            raise ValueError(f"no source can say {self.state.value}")
+            raise ValueError(f"a source cannot report the state {self.state.value!r}")
--- a/reedmount/pool/pool.py
+++ b/reedmount/pool/pool.py
@@ -1,4 +1,4 @@
-"""The one pool: what all sources say, merged by the rule, as differences for the core."""
+"""The pool of call servers: the claims of all sources, merged by the rule, as changes for the core."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from reedmount.core.checks import COUNTERS, invariant
 from reedmount.net.connection import format_address
 from reedmount.pool.claims import Claim, ClaimState, Endpoint
-from reedmount.pool.rule import OURS, SERVES, Rule, decide
+from reedmount.pool.rule import OWN_SERVING_RULES, SERVING_RULES, Rule, decide
 from reedmount.pool.source import Part, Source
 
 MAX_SERVERS = 4096
-MAX_MARKS = 4096  # of servers that are gone
-FIRST_WORD = timedelta(seconds=1)  # a list may come in several pieces
-SLICE = 16  # servers looked at between two looks at the rest of the program
-VOUCHED = (Rule.SERVING, Rule.KEPT, Rule.HEARSAY)
-LEAVING_SLICE = 128  # of those that leave: all 4,096 have to be told within 250 ms
+MAX_TOMBSTONES = 4096  # of servers reported as gone
+FIRST_ANSWER_WINDOW = timedelta(seconds=1)  # a list may arrive in several pieces
+SLICE = 16  # servers processed in one turn of the event loop
+VOUCHED_RULES = (Rule.SERVING, Rule.KEPT, Rule.HEARSAY)
+LEAVING_SLICE = 128  # leaving servers: all 4,096 have to be announced within 250 ms
 
 
 class ExpiryPolicy(Enum):
-    """What becomes of servers whose sources are all silent beyond their bound."""
+    """How to treat servers whose sources have all been silent for longer than their claims are kept."""
 
     DRAIN = "drain"
     LAST_RESORT = "last-resort"
@@ -32,53 +32,53 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One server as it stands in the pool."""
+    """The current state of one server in the pool."""
 
     endpoint: Endpoint
-    server: str  # its name in the core, the same whichever source names it
+    server: str  # its name in the core, independent of the source
     number: int
     name: str
     transport: str
     priority: int
     weight: int
     rule: Rule
-    since: datetime  # that this rule holds
-    seen: datetime | None  # its start, as our own sources have it; None: long ago
-    heard: datetime | None = None  # its start, as other members saw it
+    since: datetime  # since when this rule applies
+    seen: datetime | None  # its start according to our own sources; None: long ago
+    reported_start: datetime | None = None  # its start as reported by other members
 
     @property
     def serves(self) -> bool:
         """Whether calls may go there."""
-        return self.rule in SERVES
+        return self.rule in SERVING_RULES
 
     @property
     def ours(self) -> bool:
-        """Whether they may by our own sources, whatever other members saw."""
-        return self.rule in OURS
+        """Whether our own sources alone would allow calls, whatever other members report."""
+        return self.rule in OWN_SERVING_RULES
 
     @property
     def started(self) -> datetime | None:
-        """The latest start that anyone saw; None: long ago."""
-        return max((at for at in (self.seen, self.heard) if at is not None), default=None)
+        """The latest start known from sources or members; None: long ago."""
+        return max((at for at in (self.seen, self.reported_start) if at is not None), default=None)
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """News of one server."""
+    """A change to the entry of one server."""
 
     entry: Entry
     removed: bool = False
 
 
 class Slice(NamedTuple):
-    """What a part of a long answer has changed; an urgent one may hold servers that leave."""
+    """The changes made by one slice of a long update; an urgent one may contain servers that leave."""
 
     changes: list[Change]
     urgent: bool
 
 
 class Pool:
-    """All sources and what follows from them. Instants come in with each event; nothing here waits."""
+    """All sources and the server entries derived from them. Callers pass the time; no call blocks."""
 
     def __init__(
         self, now: datetime, sources: Sequence[str], expiry_policy: ExpiryPolicy = ExpiryPolicy.DRAIN,
@@ -88,14 +88,14 @@
         self.sources = {name: Source(name) for name in sources}
         self.entries: dict[Endpoint, Entry] = {}
         self.expiry_policy, self.forget_after = expiry_policy, forget_after
-        self.default_rank, self.transport = default_rank, transport  # of servers of which no source says more
-        self._marks: dict[Endpoint, datetime] = {}  # gone, and named by nobody: since when; oldest first
-        self._started_until = now + startup_window
+        self.default_rank, self.transport = default_rank, transport  # where no source gives them
+        self._tombstones: dict[Endpoint, datetime] = {}  # gone and no longer named: since when, oldest first
+        self._startup_until = now + startup_window
         self._numbers: dict[int, Endpoint] = {}
-        self._vouched = 0  # entries that serve by more than a last resort, held back by hearsay or not
-        self._places: dict[str, Endpoint] = {}  # by the servers' names in the core
-        self._held: Set[str] = frozenset()  # by hearsay
-        self._paced: Set[str] = frozenset()  # cold by hearsay
+        self._vouched_count = 0  # entries that serve, held back or not, other than as a last resort
+        self._endpoints: dict[str, Endpoint] = {}  # by server name in the core
+        self._held_back: Set[str] = frozenset()  # on reports of other members
+        self._paced: Set[str] = frozenset()  # cold according to reports of other members
 
     # --- events ---
 
@@ -108,118 +108,125 @@
         fresh_for: timedelta | None = None,
         keep_for: timedelta | None = None,
     ) -> Iterator[Slice]:
-        """A complete, good answer: what it leaves out is gone. Yields each slice, leaving ones first.
+        """Apply a complete, valid answer: servers missing from it are gone. Yields each slice, leaving first.
 
-        Between slices other words may be taken. Newer ones of the same part hold, and a newer complete
-        answer ends this one.
+        Other updates may be applied between slices. Newer ones of the same part take precedence, and a newer
+        complete answer ends this one.
         """
-        said = self.sources[source]
-        word = said.heard(now, part, fresh_for, keep_for)
-        held = said.part(part)
-        held.answer = word
-        first = self._is_first(now, held)
-        gone = said.left_out(part, [claim.endpoint for claim in claims])
+        origin = self.sources[source]
+        sequence = origin.record_answer(now, part, fresh_for, keep_for)
+        part_state = origin.part(part)
+        part_state.full_sequence = sequence
+        at_startup = self._is_startup_answer(now, part_state)
+        omitted = origin.omitted(part, [claim.endpoint for claim in claims])
         draining = [claim for claim in claims if claim.state is not ClaimState.SERVING]
         serving = [claim for claim in claims if claim.state is ClaimState.SERVING]
-        for begin in range(0, len(gone), LEAVING_SLICE):
+        for begin in range(0, len(omitted), LEAVING_SLICE):
             changes: list[Change] = []
-            for place in gone[begin : begin + LEAVING_SLICE]:
-                said.leave_out(now, part, place, word)
-                changes += self._decide(now, place, None)
+            for endpoint in omitted[begin : begin + LEAVING_SLICE]:
+                origin.record_omission(now, part, endpoint, sequence)
+                changes += self._update_entry(now, endpoint, None)
             yield Slice(changes, True)
-            if said.parts.get(part) is not held or held.answer != word:
+            if origin.parts.get(part) is not part_state or part_state.full_sequence != sequence:
                 return
-        for some, size in ((draining, LEAVING_SLICE), (serving, SLICE)):
-            for begin in range(0, len(some), size):
-                changes = self._take(now, said, part, some[begin : begin + size], first, word)
-                yield Slice(changes, some is draining)
-                if said.parts.get(part) is not held or held.answer != word:
+        for batch, size in ((draining, LEAVING_SLICE), (serving, SLICE)):
+            for begin in range(0, len(batch), size):
+                changes = self._apply_claims(
+                    now, origin, part, batch[begin : begin + size], at_startup, sequence
+                )
+                yield Slice(changes, batch is draining)
+                if origin.parts.get(part) is not part_state or part_state.full_sequence != sequence:
                     return
-        self._sweep(now)
-        yield Slice(self._past(now), False)
+        self._expire_tombstones(now)
+        yield Slice(self._update_expired(now), False)
 
     def partial_update(
         self, now: datetime, source: str, claims: Sequence[Claim], part: str = ""
     ) -> list[Change]:
-        """Word of single servers; of the others nothing is said."""
-        said = self.sources[source]
-        word = said.heard(now, part, None, None)
-        first = self._is_first(now, said.part(part))
-        named = sorted(claims, key=lambda claim: claim.state is ClaimState.SERVING)
-        return self._take(now, said, part, named, first, word) + self._past(now)
-
-    def source_failed(self, source: str, why: str, part: str = "") -> None:
-        """An answer that did not come or cannot count: nothing changes."""
-        self.sources[source].failed(part, why)
-
-    def lapse(self, now: datetime) -> Iterator[Slice]:
-        """Time has passed: namings may have become stale or expired. Yields after each slice."""
-        places = list(self.entries)
-        for begin in range(0, len(places), SLICE):
+        """Apply an update about single servers; the others are unaffected."""
+        origin = self.sources[source]
+        sequence = origin.record_answer(now, part, None, None)
+        at_startup = self._is_startup_answer(now, origin.part(part))
+        ordered = sorted(claims, key=lambda claim: claim.state is ClaimState.SERVING)
+        return self._apply_claims(now, origin, part, ordered, at_startup, sequence) + self._update_expired(
+            now
+        )
+
+    def source_failed(self, source: str, reason: str, part: str = "") -> None:
+        """Record a missing or invalid answer: no server changes."""
+        self.sources[source].record_failure(part, reason)
+
+    def apply_expiry(self, now: datetime) -> Iterator[Slice]:
+        """Re-evaluate all entries, as claims may have become stale or expired. Yields after each slice."""
+        endpoints = list(self.entries)
+        for begin in range(0, len(endpoints), SLICE):
             changes: list[Change] = []
-            for place in places[begin : begin + SLICE]:
-                changes += self._decide(now, place, None)
+            for endpoint in endpoints[begin : begin + SLICE]:
+                changes += self._update_entry(now, endpoint, None)
             yield Slice(changes, False)
-        yield Slice(self._past(now), False)
+        yield Slice(self._update_expired(now), False)
 
-    def lapses_after(self, now: datetime) -> datetime | None:
-        """The next instant at which a naming loses in worth."""
+    def next_expiry(self, now: datetime) -> datetime | None:
+        """Return the next time at which a claim becomes stale or expires."""
         due = [
             instant
             for source in self.sources.values()
             for part in source.parts.values()
-            for instant in part.lapses
+            for instant in part.expiry_times
             if instant > now
         ]
         return min(due, default=None)
 
     def drop_part(self, now: datetime, source: str, part: str) -> list[Change]:
-        """The operator has taken a part of a source away: what it said counts no more."""
-        said = self.sources[source]
-        touched = [place for place, by_part in said.sayings.items() if part in by_part]
-        for place in touched:
-            del said.sayings[place][part]
-        said.parts.pop(part, None)
-        return [change for place in touched for change in self._decide(now, place, None)] + self._past(now)
+        """Drop a part of a source that the operator has removed: its claims no longer count."""
+        origin = self.sources[source]
+        affected = [endpoint for endpoint, by_part in origin.statements.items() if part in by_part]
+        for endpoint in affected:
+            del origin.statements[endpoint][part]
+        origin.parts.pop(part, None)
+        return [
+            change for endpoint in affected for change in self._update_entry(now, endpoint, None)
+        ] + self._update_expired(now)
 
     def apply_member_reports(
         self, now: datetime, held: Set[str], starts: Mapping[str, datetime]
     ) -> list[Change]:
-        """What other members saw, as far as it counts (members/hearsay.py): whom to hold back, who is cold.
+        """Apply the accepted reports of other members (members/server_reports.py): servers held back or cold.
 
-        Both as a whole: who is not among them any more is let go. It takes none in, and removes none.
+        Both collections are complete: a server that is no longer in one is released from it. No server is
+        added or removed.
         """
-        touched = (self._held ^ held) | self._paced | starts.keys()
-        self._held, self._paced = frozenset(held), frozenset(starts)
+        affected = (self._held_back ^ held) | self._paced | starts.keys()
+        self._held_back, self._paced = frozenset(held), frozenset(starts)
         changes: list[Change] = []
-        for server in sorted(touched & self._places.keys()):
-            entry = self.entries[self._places[server]]
+        for server in sorted(affected & self._endpoints.keys()):
+            entry = self.entries[self._endpoints[server]]
             before = entry.started
-            entry.heard = starts.get(server)
-            found = self._decide(now, entry.endpoint, None)
+            entry.reported_start = starts.get(server)
+            found = self._update_entry(now, entry.endpoint, None)
             changes += found or ([Change(entry)] if entry.started != before else [])
         return changes
 
-    # --- what holds ---
+    # --- queries ---
 
     def find(self, server: str) -> Entry | None:
-        """A server by its name in the core."""
-        place = self._places.get(server)
-        return None if place is None else self.entries.get(place)
+        """Find a server by its name in the core."""
+        endpoint = self._endpoints.get(server)
+        return None if endpoint is None else self.entries.get(endpoint)
 
     @property
     def vouched_count(self) -> int:
-        """How many serve by our own sources, and not as a last resort."""
-        return self._vouched
+        """How many servers our own sources vouch for, last resorts not counted."""
+        return self._vouched_count
 
-    def words(self, now: datetime, place: Endpoint) -> dict[str, ClaimState]:
-        """What each source says of a server."""
-        return {name: source.word(now, place) for name, source in self.sources.items()}
+    def claim_states(self, now: datetime, endpoint: Endpoint) -> dict[str, ClaimState]:
+        """Return the state that each source reports of a server."""
+        return {name: source.state_of(now, endpoint) for name, source in self.sources.items()}
 
-    def _is_first(self, now: datetime, part: Part) -> bool:
-        """Whether what it names now may have served long before us: its first word, soon after our start."""
-        begun = part.first_at or now
-        return begun < self._started_until and now - begun < FIRST_WORD
+    def _is_startup_answer(self, now: datetime, part: Part) -> bool:
+        """Whether the servers named now may have run before our start: a first answer, soon after it."""
+        began_at = part.first_answer_at or now
+        return began_at < self._startup_until and now - began_at < FIRST_ANSWER_WINDOW
 
     def _has_room(self, claim: Claim) -> bool:
         if claim.endpoint in self.entries or len(self.entries) < MAX_SERVERS:
@@ -227,54 +234,60 @@
         COUNTERS.add("pool.no_room")
         return False
 
-    def _take(
-        self, now: datetime, said: Source, part: str, claims: Iterable[Claim], first: bool, word: int
+    def _apply_claims(
+        self,
+        now: datetime,
+        origin: Source,
+        part: str,
+        claims: Iterable[Claim],
+        at_startup: bool,
+        sequence: int,
     ) -> list[Change]:
         changes: list[Change] = []
         for claim in claims:
             if not self._has_room(claim):
                 continue
-            if claim.endpoint in self._marks:
-                self._reconsider(now, claim)
-            said.say(now, part, claim, word)
-            changes += self._decide(now, claim.endpoint, claim, first)
-        self._sweep(now)
+            if claim.endpoint in self._tombstones:
+                self._check_tombstone(now, claim)
+            origin.add_claim(now, part, claim, sequence)
+            changes += self._update_entry(now, claim.endpoint, claim, at_startup)
+        self._expire_tombstones(now)
         return changes
 
-    def _reconsider(self, now: datetime, claim: Claim) -> None:
-        """A server that all had given up is named: a process started since then is another one."""
-        since = self._marks[claim.endpoint]
+    def _check_tombstone(self, now: datetime, claim: Claim) -> None:
+        """Remove the tombstone of a server named again, once it is too old or the process is a later one."""
+        since = self._tombstones[claim.endpoint]
         if claim.started is not None and claim.started > since or now - since > self.forget_after:
-            self._unmark(claim.endpoint)
+            self._forget_server(claim.endpoint)
 
-    def _decide(
-        self, now: datetime, place: Endpoint, claim: Claim | None, first: bool = False
+    def _update_entry(
+        self, now: datetime, endpoint: Endpoint, claim: Claim | None, at_startup: bool = False
     ) -> list[Change]:
-        """Apply the rule to one server, and say what has changed.
+        """Apply the rule to one server and return the changes.
 
-        A server that comes in or comes back counts as started now, unless the claim that brings it says
-        when it was, or it is among the first that its source names at our own start.
+        A server that is added or returns counts as started now, unless its claim carries the start or it is
+        in the first answer of its source at our own start.
         """
-        rule = decide(source.word(now, place) for source in self.sources.values())
-        entry = self.entries.get(place)
-        if rule is Rule.UNNAMED or rule is Rule.GONE and not self._named(now, place):
-            return self._remove(place, rule, now)
-        naming = self._naming(place)
+        rule = decide(source.state_of(now, endpoint) for source in self.sources.values())
+        entry = self.entries.get(endpoint)
+        if rule is Rule.UNNAMED or rule is Rule.GONE and not self._is_claimed(now, endpoint):
+            return self._remove(endpoint, rule, now)
+        current = self._current_claim(endpoint)
         if rule is Rule.EXPIRED and self.expiry_policy is ExpiryPolicy.LAST_RESORT:
-            rule = self._past_rule()
-        if rule in SERVES and format_address(place) in self._held:
+            rule = self._expired_rule()
+        if rule in SERVING_RULES and format_address(endpoint) in self._held_back:
             rule = Rule.HEARSAY
         if entry is None:
-            if naming is None:
+            if current is None:
                 return []
-            started = naming.started if first else naming.started or now
-            return [Change(self._enter(now, naming, rule, started))]
+            started = current.started if at_startup else current.started or now
+            return [Change(self._add_entry(now, current, rule, started))]
         before = (entry.serves, entry.started, entry.transport, entry.priority, entry.weight)
         ours = entry.ours
-        if naming is not None:
-            entry.name, entry.transport = naming.name, self._transport(place)
-            entry.priority, entry.weight = self._rank(place)
-        self._set(entry, rule, now)
+        if current is not None:
+            entry.name, entry.transport = current.name, self._transport(endpoint)
+            entry.priority, entry.weight = self._rank(endpoint)
+        self._set_rule(entry, rule, now)
         started = claim.started if claim is not None and claim.state is ClaimState.SERVING else None
         if entry.ours and not ours and started is None:
             started = now
@@ -283,104 +296,105 @@
         after = (entry.serves, entry.started, entry.transport, entry.priority, entry.weight)
         return [Change(entry)] if after != before else []
 
-    def _named(self, now: datetime, place: Endpoint) -> bool:
-        """Whether any source still has it, also one that says it drains."""
+    def _is_claimed(self, now: datetime, endpoint: Endpoint) -> bool:
+        """Whether any source still names it, also as draining."""
         return any(
-            source.word(now, place) not in (ClaimState.GONE, ClaimState.UNNAMED)
+            source.state_of(now, endpoint) not in (ClaimState.GONE, ClaimState.UNNAMED)
             for source in self.sources.values()
         )
 
-    def _naming(self, place: Endpoint) -> Claim | None:
-        """Which claim names it: that of the first source, in their order, that has it."""
+    def _current_claim(self, endpoint: Endpoint) -> Claim | None:
+        """Return the claim of the first source, in configured order, that has it."""
         for source in self.sources.values():
-            saying = source.naming(place)
-            if saying is not None:
-                return saying.claim
+            statement = source.current_statement(endpoint)
+            if statement is not None:
+                return statement.claim
         return None
 
-    def _transport(self, place: Endpoint) -> str:
-        """How it is reached, as the first source has it that says so."""
+    def _transport(self, endpoint: Endpoint) -> str:
+        """Return its transport, from the first source that gives one."""
         for source in self.sources.values():
-            saying = source.naming(place)
-            if saying is not None and saying.claim.transport is not None:
-                return saying.claim.transport
+            statement = source.current_statement(endpoint)
+            if statement is not None and statement.claim.transport is not None:
+                return statement.claim.transport
         return self.transport
 
-    def _rank(self, place: Endpoint) -> tuple[int, int]:
-        """Its priority and weight, from the first source that ranks servers at all."""
+    def _rank(self, endpoint: Endpoint) -> tuple[int, int]:
+        """Return its priority and weight, from the first source that gives them."""
         for source in self.sources.values():
-            saying = source.naming(place)
-            if saying is not None and saying.claim.priority is not None:
-                return saying.claim.priority, saying.claim.weight or 0
+            statement = source.current_statement(endpoint)
+            if statement is not None and statement.claim.priority is not None:
+                return statement.claim.priority, statement.claim.weight or 0
         return self.default_rank
 
-    def _enter(self, now: datetime, claim: Claim, rule: Rule, came: datetime | None) -> Entry:
-        place = claim.endpoint
-        entry = self.entries[place] = Entry(
-            place, format_address(place), self._number(place), claim.name, self._transport(place),
-            *self._rank(place), rule, now, came,
+    def _add_entry(self, now: datetime, claim: Claim, rule: Rule, started: datetime | None) -> Entry:
+        endpoint = claim.endpoint
+        entry = self.entries[endpoint] = Entry(
+            endpoint, format_address(endpoint), self._assign_number(endpoint), claim.name,
+            self._transport(endpoint),
+            *self._rank(endpoint), rule, now, started,
         )  # fmt: skip
-        self._places[entry.server] = place
-        self._vouched += rule in VOUCHED
+        self._endpoints[entry.server] = endpoint
+        self._vouched_count += rule in VOUCHED_RULES
         return entry
 
-    def _remove(self, place: Endpoint, rule: Rule, now: datetime) -> list[Change]:
-        """Nobody names it. Marks of its end are kept for a while: an older answer may still be on its way."""
+    def _remove(self, endpoint: Endpoint, rule: Rule, now: datetime) -> list[Change]:
+        """Remove a server that no source names. It leaves a tombstone, as an old answer may still arrive."""
         if rule is Rule.GONE:
-            self._marks.setdefault(place, now)
+            self._tombstones.setdefault(endpoint, now)
         else:
-            self._unmark(place)
-        entry = self.entries.pop(place, None)
+            self._forget_server(endpoint)
+        entry = self.entries.pop(endpoint, None)
         if entry is None:
             return []
-        self._set(entry, rule, now)
-        del self._numbers[entry.number], self._places[entry.server]
+        self._set_rule(entry, rule, now)
+        del self._numbers[entry.number], self._endpoints[entry.server]
         return [Change(entry, removed=True)]
 
-    def _unmark(self, place: Endpoint) -> None:
-        self._marks.pop(place, None)
+    def _forget_server(self, endpoint: Endpoint) -> None:
+        self._tombstones.pop(endpoint, None)
         for source in self.sources.values():
-            source.forget(place)
-
-    def _sweep(self, now: datetime) -> None:
-        """Marks have a bound in time and in number; those of a server that is named again are its entry's."""
-        while self._marks:
-            place, since = next(iter(self._marks.items()))
-            if place in self.entries:
-                del self._marks[place]
-            elif len(self._marks) > MAX_MARKS or now - since > self.forget_after:
-                self._unmark(place)
+            source.forget(endpoint)
+
+    def _expire_tombstones(self, now: datetime) -> None:
+        """Remove tombstones that are too old, too many, or of servers that have an entry again."""
+        while self._tombstones:
+            endpoint, since = next(iter(self._tombstones.items()))
+            if endpoint in self.entries:
+                del self._tombstones[endpoint]
+            elif len(self._tombstones) > MAX_TOMBSTONES or now - since > self.forget_after:
+                self._forget_server(endpoint)
             else:
                 return
 
-    def _set(self, entry: Entry, rule: Rule, now: datetime) -> None:
+    def _set_rule(self, entry: Entry, rule: Rule, now: datetime) -> None:
         if entry.rule is not rule:
-            self._vouched += (rule in VOUCHED) - (entry.rule in VOUCHED)
-            invariant(self._vouched >= 0, "vouched_for")
+            self._vouched_count += (rule in VOUCHED_RULES) - (entry.rule in VOUCHED_RULES)
+            invariant(self._vouched_count >= 0, "vouched_for")
             entry.rule, entry.since = rule, now
 
-    # --- past the bound ---
+    # --- expired entries ---
 
-    def _past_rule(self) -> Rule:
-        return Rule.EXPIRED if self._vouched else Rule.LAST_RESORT
+    def _expired_rule(self) -> Rule:
+        return Rule.EXPIRED if self._vouched_count else Rule.LAST_RESORT
 
-    def _past(self, now: datetime) -> list[Change]:
-        """A last resort serves while nobody else does, and no longer."""
+    def _update_expired(self, now: datetime) -> list[Change]:
+        """Let last resorts serve only while no other server does."""
         if self.expiry_policy is not ExpiryPolicy.LAST_RESORT:
             return []
-        wanted = self._past_rule()
+        expired_rule = self._expired_rule()
         changes = []
         for entry in self.entries.values():
-            if entry.rule in (Rule.EXPIRED, Rule.LAST_RESORT) and entry.rule is not wanted:
-                self._set(entry, wanted, now)
+            if entry.rule in (Rule.EXPIRED, Rule.LAST_RESORT) and entry.rule is not expired_rule:
+                self._set_rule(entry, expired_rule, now)
                 changes.append(Change(entry))
         return changes
 
-    def _number(self, place: Endpoint) -> int:
-        """Its number in the pool: the same at each start, unless two servers share one by chance."""
-        digest = hashlib.sha256(format_address(place).encode()).digest()
+    def _assign_number(self, endpoint: Endpoint) -> int:
+        """Assign its number in the pool: the same after each restart, barring collisions."""
+        digest = hashlib.sha256(format_address(endpoint).encode()).digest()
         number = int.from_bytes(digest[:4], "big") >> 1
         while number in self._numbers:
             number = (number + 1) % 2**31
-        self._numbers[number] = place
+        self._numbers[number] = endpoint
         return number
--- a/reedmount/pool/rule.py
+++ b/reedmount/pool/rule.py
@@ -1,4 +1,4 @@
-"""The rule where sources disagree, as the table in docs/design/sources.md has it."""
+"""The rule that merges the claims of all sources, as tabled in docs/design/sources.md."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Rule(Enum):
-    """Why a server is where it is; the text is for the door."""
+    """Which rule decided the state of a server; the value is the explanation on the admin interface."""
 
     GONE = "a source says that it is gone, or left it out of a good answer"
     DRAINING = "a source says that it drains"
@@ -21,10 +21,10 @@
     UNNAMED = "no source names it"
 
 
-SERVES = frozenset((Rule.SERVING, Rule.KEPT, Rule.LAST_RESORT))
-OURS = SERVES | {Rule.HEARSAY}  # would serve by our own sources alone
+SERVING_RULES = frozenset((Rule.SERVING, Rule.KEPT, Rule.LAST_RESORT))
+OWN_SERVING_RULES = SERVING_RULES | {Rule.HEARSAY}  # would serve if only our own sources counted
 
-# The first line that fits decides: the safer view stands above the others.
+# The first matching line decides: safer states come before the others.
 TABLE = (
     (ClaimState.GONE, Rule.GONE),
     (ClaimState.DRAINING, Rule.DRAINING),
@@ -34,10 +34,10 @@
 )
 
 
-def decide(words: Iterable[ClaimState]) -> Rule:
-    """What holds of a server of which its sources say this, in whatever order."""
-    said = set(words)
-    for word, rule in TABLE:
-        if word in said:
+def decide(states: Iterable[ClaimState]) -> Rule:
+    """Return the rule for the states that the sources report of one server; their order doesn't matter."""
+    reported = set(states)
+    for state, rule in TABLE:
+        if state in reported:
             return rule
     return Rule.UNNAMED
--- a/reedmount/pool/source.py
+++ b/reedmount/pool/source.py
@@ -1,4 +1,4 @@
-"""One source: what it has said of each server, part by part, and how long that holds."""
+"""One source of call servers: its claims about each server, part by part, and how long they are valid."""
 
 from __future__ import annotations
 
@@ -11,126 +11,130 @@
 
 @dataclass(slots=True)
 class Part:
-    """What is whole by itself: one SRV name, or all of a list."""
-
-    first_at: datetime | None = None  # its first good answer
-    heard_at: datetime | None = None  # the last one
-    fresh_until: datetime | None = None  # None: until the next word
-    kept_until: datetime | None = None
-    words: int = 0  # answers and news so far: what is newer holds
-    answer: int = 0  # which of them was the last complete one
-    failures: int = 0  # since that answer
+    """A unit that is updated as a whole: one SRV name, or a complete list."""
+
+    first_answer_at: datetime | None = None  # first valid answer
+    last_answer_at: datetime | None = None  # last valid answer
+    fresh_until: datetime | None = None  # None: until the next update
+    stale_until: datetime | None = None
+    sequence: int = 0  # updates so far, full and partial: the newer one takes precedence
+    full_sequence: int = 0  # sequence number of the last full update
+    failures: int = 0  # since the last valid answer
     failure: str = ""
 
-    def age(self, now: datetime) -> ClaimState:
-        """What a naming of this part is worth now."""
+    def state_at(self, now: datetime) -> ClaimState:
+        """Return the state of the claims of this part at the given time."""
         if self.fresh_until is None or now < self.fresh_until:
             return ClaimState.SERVING
-        if self.kept_until is None or now < self.kept_until:
+        if self.stale_until is None or now < self.stale_until:
             return ClaimState.STALE
         return ClaimState.EXPIRED
 
     @property
-    def lapses(self) -> tuple[datetime, ...]:
-        """When its namings lose in worth."""
-        return tuple(instant for instant in (self.fresh_until, self.kept_until) if instant is not None)
+    def expiry_times(self) -> tuple[datetime, ...]:
+        """When the claims of this part become stale and when they expire."""
+        return tuple(instant for instant in (self.fresh_until, self.stale_until) if instant is not None)
 
 
 @dataclass(slots=True)
-class Saying:
-    """The last that one part said of one server."""
+class Statement:
+    """The latest claim of one part about one server."""
 
     claim: Claim
-    said_at: datetime
-    word: int  # of the part's words
+    received_at: datetime
+    sequence: int  # of the part's update that brought it
 
 
 @dataclass(slots=True)
 class Source:
-    """A source by its name. Its sayings are emptied by the pool once no source names the server any more."""
+    """A source by its name. The pool removes its statements once no source names the server any more."""
 
     name: str
     parts: dict[str, Part] = field(default_factory=dict)
-    sayings: dict[Endpoint, dict[str, Saying]] = field(default_factory=dict)
+    statements: dict[Endpoint, dict[str, Statement]] = field(default_factory=dict)
 
     def part(self, name: str) -> Part:
-        """A part, new where it has not been heard of."""
+        """Return a part, creating it if it is new."""
         return self.parts.setdefault(name, Part())
 
-    def heard(self, now: datetime, name: str, fresh_for: timedelta | None, keep_for: timedelta | None) -> int:
-        """A good answer came; ``fresh_for`` is its lifetime, ``keep_for`` the bound beyond that.
+    def record_answer(
+        self, now: datetime, name: str, fresh_for: timedelta | None, keep_for: timedelta | None
+    ) -> int:
+        """Record a valid answer; ``fresh_for`` is its lifetime, ``keep_for`` how long it is kept as stale.
 
-        Returns which word of the part it is.
+        Returns the sequence number of the update within the part.
         """
         part = self.part(name)
-        part.words += 1
-        part.first_at = part.first_at or now
-        part.heard_at, part.failures, part.failure = now, 0, ""
+        part.sequence += 1
+        part.first_answer_at = part.first_answer_at or now
+        part.last_answer_at, part.failures, part.failure = now, 0, ""
         part.fresh_until = None if fresh_for is None else now + fresh_for
-        part.kept_until = None
+        part.stale_until = None
         if part.fresh_until is not None and keep_for is not None:
-            part.kept_until = part.fresh_until + keep_for
-        return part.words
+            part.stale_until = part.fresh_until + keep_for
+        return part.sequence
 
-    def failed(self, name: str, why: str) -> None:
-        """No good answer: that says nothing of any server, and is remembered for the staff."""
+    def record_failure(self, name: str, reason: str) -> None:
+        """Record that there was no valid answer: it affects no server and is shown to operators."""
         part = self.part(name)
         part.failures += 1
-        part.failure = why
+        part.failure = reason
 
-    def left_out(self, name: str, named: Iterable[Endpoint]) -> list[Endpoint]:
-        """The servers this part held as there, that a complete answer has not named."""
-        there = set(named)
+    def omitted(self, name: str, named: Iterable[Endpoint]) -> list[Endpoint]:
+        """Return the servers of this part, not yet gone, that a complete answer does not contain."""
+        present = set(named)
         return [
-            place
-            for place, by_part in self.sayings.items()
-            if place not in there and name in by_part and by_part[name].claim.state is not ClaimState.GONE
+            endpoint
+            for endpoint, by_part in self.statements.items()
+            if endpoint not in present
+            and name in by_part
+            and by_part[name].claim.state is not ClaimState.GONE
         ]
 
-    def say(self, now: datetime, name: str, claim: Claim, word: int) -> None:
-        """Take one claim, unless a newer word of the part was taken while this one waited.
+    def add_claim(self, now: datetime, name: str, claim: Claim, sequence: int) -> None:
+        """Store a claim, unless a newer update of the part was applied while this one waited.
 
-        Word that an older process is gone is none of the one that has its address now.
+        A report that an older process drains or is gone does not apply to the one that has its address now.
         """
-        by_part = self.sayings.setdefault(claim.endpoint, {})
-        held = by_part.get(name)
-        if held is not None and held.word > word:
+        by_part = self.statements.setdefault(claim.endpoint, {})
+        previous = by_part.get(name)
+        if previous is not None and previous.sequence > sequence:
             return
-        if held is not None and claim.state in LEAVING and claim.name != held.claim.name:
+        if previous is not None and claim.state in LEAVING and claim.name != previous.claim.name:
             return
-        by_part[name] = Saying(claim, now, word)
+        by_part[name] = Statement(claim, now, sequence)
 
-    def leave_out(self, now: datetime, name: str, place: Endpoint, word: int) -> None:
-        """A complete answer has not named it."""
-        held = self.sayings.get(place, {}).get(name)
-        if held is None or held.word > word:
+    def record_omission(self, now: datetime, name: str, endpoint: Endpoint, sequence: int) -> None:
+        """Mark a server as gone because a complete answer does not contain it."""
+        previous = self.statements.get(endpoint, {}).get(name)
+        if previous is None or previous.sequence > sequence:
             return
-        gone = replace(held.claim, state=ClaimState.GONE, started=None)
-        self.sayings[place][name] = Saying(gone, now, word)
+        gone = replace(previous.claim, state=ClaimState.GONE, started=None)
+        self.statements[endpoint][name] = Statement(gone, now, sequence)
 
-    def word(self, now: datetime, place: Endpoint) -> ClaimState:
-        """What it says of a server: draining before naming, and naming in any part before absence."""
-        by_part = self.sayings.get(place)
+    def state_of(self, now: datetime, endpoint: Endpoint) -> ClaimState:
+        """Return the state it reports of a server: draining first, and a claim in any part before absence."""
+        by_part = self.statements.get(endpoint)
         if not by_part:
             return ClaimState.UNNAMED
-        found = {
-            saying.claim.state if saying.claim.state in LEAVING else self.parts[name].age(now)
-            for name, saying in by_part.items()
+        states = {
+            statement.claim.state if statement.claim.state in LEAVING else self.parts[name].state_at(now)
+            for name, statement in by_part.items()
         }
-        for word in (ClaimState.DRAINING, ClaimState.SERVING, ClaimState.STALE, ClaimState.EXPIRED):
-            if word in found:
-                return word
+        for candidate in (ClaimState.DRAINING, ClaimState.SERVING, ClaimState.STALE, ClaimState.EXPIRED):
+            if candidate in states:
+                return candidate
         return ClaimState.GONE
 
-    def naming(self, place: Endpoint) -> Saying | None:
-        """The saying that tells how the server is reached: of the part first heard of, not one of absence."""
-        by_part = self.sayings.get(place) or {}
+    def current_statement(self, endpoint: Endpoint) -> Statement | None:
+        """Return the statement on how to reach the server: that of the oldest part where it is not gone."""
+        by_part = self.statements.get(endpoint) or {}
         for name in self.parts:
-            saying = by_part.get(name)
-            if saying is not None and saying.claim.state is not ClaimState.GONE:
-                return saying
+            statement = by_part.get(name)
+            if statement is not None and statement.claim.state is not ClaimState.GONE:
+                return statement
         return None
 
-    def forget(self, place: Endpoint) -> None:
-        """No source names it any more."""
-        self.sayings.pop(place, None)
+    def forget(self, endpoint: Endpoint) -> None:
+        """Remove all statements about a server that no source names any more."""
+        self.statements.pop(endpoint, None)
--- a/reedmount/sources/__init__.py
+++ b/reedmount/sources/__init__.py
@@ -1,1 +1,1 @@
-"""The shells of the pool: each source brings its words to one host, which tells the core what has changed."""
+"""Sources of call servers: each passes its claims to one pool host, which reports changes to the core."""
--- a/reedmount/sources/lists.py
+++ b/reedmount/sources/lists.py
@@ -1,4 +1,4 @@
-"""Lists as sources: the notice board, the zone with its updates, servers written in the operator file."""
+"""Lists as sources: the notice board, the zone with its updates, servers in the operator's file."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
 
 class BoardSource:
-    """What the notice board's reader tells as news of the core, told to the pool instead."""
+    """Passes the notice board's pool list to the pool instead of the core."""
 
     def __init__(self, host: PoolHost) -> None:
         self._host = host
 
     def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
-        """As ``Switch.pool``; the versions have been checked by the reader."""
+        """Take a list or its changes, as ``Switch.pool_changed``; the reader has checked the versions."""
         claims = [self._claim(entry) for entry in entries]
         if kind is i.ListKind.CHANGES:
             self._host.partial_update(BOARD, claims)
-        elif claims:  # one that was never heard says nothing, not that there are none
+        elif claims:  # empty: not received yet, rather than no servers
             self._host.full_update(BOARD, claims)
 
     @staticmethod
     def _claim(entry: ListedServer) -> Claim:
-        word = (
+        state = (
             ClaimState.GONE if entry.removed else ClaimState.SERVING if entry.serving else ClaimState.DRAINING
         )
-        return Claim(entry.address, entry.server, word, started=entry.started)  # it names no transport
+        return Claim(entry.address, entry.server, state, started=entry.started)  # no transport on the board
 
 
 class ZoneSource:
-    """The zone as it stands: each change of it is a complete list of its call servers."""
+    """The zone as a source: each change of it is a full update of its call servers."""
 
     def __init__(
         self, host: PoolHost, zone: dns.zone.Zone, transports: Sequence[str], write_back: Path | None
@@ -49,19 +49,19 @@
         self._transports, self._write_back = transports, write_back
 
     def start(self) -> None:
-        """Tell what the zone file says."""
-        self._say()
+        """Publish the servers of the zone file."""
+        self._publish()
 
     def reload(self, zone: dns.zone.Zone, transports: Sequence[str], write_back: Path | None) -> None:
-        """The operator's file and the zone file have been read again: they hold from now on."""
+        """Apply a reloaded operator file and zone file."""
         self._transports, self._write_back = transports, write_back
         self.changed(zone, saved=True)
 
     def changed(self, zone: dns.zone.Zone, saved: bool = False) -> None:
-        """The zone is another."""
+        """Publish the servers of a changed zone, and write it back unless it was just read."""
         self._zone = zone
-        found = self._say()
-        log(f"zone changed: {len(found)} call servers", "dns.changed")
+        listed = self._publish()
+        log(f"zone changed: {len(listed)} call servers", "dns.changed")
         if self._write_back is not None and not saved:
             try:
                 save_zone(zone, self._write_back)
@@ -69,22 +69,22 @@
                 COUNTERS.add("dns.not_saved")
                 log(f"{self._write_back}: {error}", "dns.not_saved")
 
-    def _say(self) -> list[ZoneServer]:
-        found = list(zone_servers(self._zone, self._transports).values())
+    def _publish(self) -> list[ZoneServer]:
+        listed = list(zone_servers(self._zone, self._transports).values())
         claims = [
             Claim(
-                endpoint=item.address,
-                name=item.server.rpartition(":")[0],
-                transport=item.transport,
-                priority=item.priority,
-                weight=item.weight,
+                endpoint=server.address,
+                name=server.server.rpartition(":")[0],
+                transport=server.transport,
+                priority=server.priority,
+                weight=server.weight,
             )
-            for item in found
+            for server in listed
         ]
         self._host.full_update(ZONE, claims)
-        return found
+        return listed
 
 
 def publish_fixed(host: PoolHost, claims: Sequence[Claim]) -> None:
-    """The servers that the operator's file names, as it stands now."""
+    """Publish the servers that the operator's file names."""
     host.full_update(FIXED, claims)
--- a/reedmount/sources/pool_host.py
+++ b/reedmount/sources/pool_host.py
@@ -1,4 +1,4 @@
-"""The pool on the loop: words in, lapses in time, bands watched, news to the core in slices."""
+"""Runs the pool on the event loop: updates, expiry, priority bands, changes to the core in slices."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from reedmount.pool.pool import SLICE, Change, Entry, ExpiryPolicy, Pool, Slice
 from reedmount.pool.rule import Rule
 
-BETWEEN_SLICES = timedelta(milliseconds=1)
-PAGE = 100  # servers in one answer of the door
+SLICE_INTERVAL = timedelta(milliseconds=1)
+PAGE_SIZE = 100  # servers in one answer of the admin interface
 NOT_REACHED = frozenset((i.Outcome.UNREACHABLE, i.Outcome.TIMED_OUT, i.Outcome.RESET))
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """What the operator says of the pool, whatever its sources."""
+    """The operator's settings of the pool, independent of its sources."""
 
     expiry_policy: ExpiryPolicy = ExpiryPolicy.DRAIN
     startup_window: timedelta = timedelta(seconds=10)
     forget_after: timedelta = timedelta(minutes=10)
-    default_rank: tuple[int, int] = (0, 1)  # priority and weight of servers that no source ranks
-    transport: str = "tcp"  # of servers of which no source says it
+    default_rank: tuple[int, int] = (0, 1)  # priority and weight of servers for which no source gives them
+    transport: str = "tcp"  # of servers for which no source gives it
     bands: BandSettings = BandSettings()
 
 
 class PoolHost:
-    """The owner of the pool and its bands. Sources speak to it, in whatever order."""
+    """Owns the pool and its bands, and takes the updates of all sources."""
 
     def __init__(self, loop: Loop, switch: Switch, settings: PoolSettings, sources: Sequence[str]) -> None:
         self.loop, self._switch, self.settings = loop, switch, settings
@@ -48,28 +48,28 @@
         )  # fmt: skip
         self.bands = Bands(settings.bands)
         self._version = 0
-        self._urgent: deque[Iterator[Slice]] = deque()  # of which some servers may leave
-        self._jobs: deque[Iterator[Slice]] = deque()
-        self._working = False
-        self._lapse: Timer | None = None
-        self._look: Timer | None = None
-        self._told: dict[str, bool] = {}  # servers that the core knows: whether it may send there
-        self._changed: list[Callable[[Entry, bool], None]] = []
-        switch.on_attempt = self._attempt
+        self._urgent: deque[Iterator[Slice]] = deque()  # updates with leaving servers still to process
+        self._background: deque[Iterator[Slice]] = deque()
+        self._slice_scheduled = False
+        self._expiry_timer: Timer | None = None
+        self._band_timer: Timer | None = None
+        self._core_state: dict[str, bool] = {}  # servers known to the core: whether it may send calls to them
+        self._change_listeners: list[Callable[[Entry, bool], None]] = []
+        switch.on_attempt = self._record_attempt
 
     def apply_settings(self, settings: PoolSettings) -> None:
-        """Go by other settings from now on."""
+        """Apply changed settings."""
         self.settings = settings
         self.pool.expiry_policy, self.pool.forget_after = settings.expiry_policy, settings.forget_after
         self.pool.default_rank, self.pool.transport = settings.default_rank, settings.transport
         self.bands.settings = settings.bands
-        self._job(self.pool.lapse(self.loop.clock.now()))
+        self._add_job(self.pool.apply_expiry(self.loop.clock.now()))
 
     # --- from the sources ---
 
     @property
     def fallback_description(self) -> str:
-        """What there is, for a line to the staff."""
+        """The number of usable call servers, for the operator's log."""
         return f"{len(self.bands.members)} call servers"
 
     def full_update(
@@ -80,86 +80,88 @@
         fresh_for: timedelta | None = None,
         keep_for: timedelta | None = None,
     ) -> None:
-        """A complete, good answer. It is taken in slices; the next one waits until it is."""
+        """Take a complete, valid answer. It is processed in slices."""
         COUNTERS.add(f"pool.heard.{source}")
-        self._job(self.pool.full_update(self.loop.clock.now(), source, claims, part, fresh_for, keep_for))
+        self._add_job(self.pool.full_update(self.loop.clock.now(), source, claims, part, fresh_for, keep_for))
 
     def partial_update(self, source: str, claims: Sequence[Claim]) -> None:
-        """Word of single servers: it waits for nothing, as it may be of a drain."""
+        """Take an update about single servers, at once, as it may announce a drain."""
         COUNTERS.add(f"pool.heard.{source}")
-        self._tell(self.pool.partial_update(self.loop.clock.now(), source, claims))
-        self._watch_time()
+        self._publish(self.pool.partial_update(self.loop.clock.now(), source, claims))
+        self._schedule_expiry()
 
-    def source_failed(self, source: str, why: str, part: str = "") -> None:
-        """No good answer: nothing changes."""
+    def source_failed(self, source: str, reason: str, part: str = "") -> None:
+        """Record that a source gave no valid answer: no server changes."""
         COUNTERS.add(f"pool.failed.{source}")
-        self.pool.source_failed(source, why, part)
+        self.pool.source_failed(source, reason, part)
 
     def drop(self, source: str, part: str = "") -> None:
-        """The operator has taken it away."""
+        """Drop a part of a source that the operator has removed."""
         if part in self.pool.sources[source].parts:
-            self._tell(self.pool.drop_part(self.loop.clock.now(), source, part))
+            self._publish(self.pool.drop_part(self.loop.clock.now(), source, part))
 
     def first_choice(self, number: str) -> int | None:
-        """The server of first choice for a number called."""
+        """Return the number of the first-choice server for a called number."""
         return self.bands.first_choice(number)
 
     # --- other members ---
 
-    def on_change(self, hear: Callable[[Entry, bool], None]) -> None:
-        """Have somebody hear of each server whose state is another, and whether it is removed."""
-        self._changed.append(hear)
+    def on_change(self, listener: Callable[[Entry, bool], None]) -> None:
+        """Add a listener that gets each server whose state has changed, and whether it is removed."""
+        self._change_listeners.append(listener)
 
     def apply_member_reports(self, held: Set[str], starts: Mapping[str, datetime]) -> None:
-        """What other members saw, as far as it counts: whom to hold back, who is cold; each as a whole."""
-        self._tell(self.pool.apply_member_reports(self.loop.clock.now(), held, starts))
+        """Apply accepted reports of other members: the servers held back and the cold ones, both complete."""
+        self._publish(self.pool.apply_member_reports(self.loop.clock.now(), held, starts))
 
-    # --- for the door ---
+    # --- admin interface ---
 
     def view(self, after: int = 0) -> dict[str, object]:
-        """A page of the pool: for each server what each source says, how old that is, what decided."""
+        """Return a page of the pool: for each server the sources' claims, their age, the deciding rule."""
         now = self.loop.clock.now()
         entries = list(self.pool.entries.values())
-        page = [self._seen(now, entry) for entry in entries[after : after + PAGE]]
-        rest = len(entries) - after - len(page)
+        page = [self._server_view(now, entry) for entry in entries[after : after + PAGE_SIZE]]
+        remaining = len(entries) - after - len(page)
         return {
             "servers": page,
             "count": len(entries),
             "open_bands": self.bands.open,
-            "sources": {name: self._parts(now, name) for name in self.pool.sources},
-            **({"next": after + len(page)} if rest > 0 else {}),
+            "sources": {name: self._parts_view(now, name) for name in self.pool.sources},
+            **({"next": after + len(page)} if remaining > 0 else {}),
         }
 
-    def _seen(self, now: datetime, entry: Entry) -> dict[str, object]:
-        words: dict[str, dict[str, object]] = {}
+    def _server_view(self, now: datetime, entry: Entry) -> dict[str, object]:
+        reports: dict[str, dict[str, object]] = {}
         for name, source in self.pool.sources.items():
-            word = source.word(now, entry.endpoint)
-            if word is not ClaimState.UNNAMED:
-                said = source.sayings[entry.endpoint].values()
-                age = min(now - saying.said_at for saying in said)
-                names = sorted({saying.claim.name for saying in said})
-                words[name] = {"says": word.value, "age_s": _seconds(age), "name": names[0]}
+            state = source.state_of(now, entry.endpoint)
+            if state is not ClaimState.UNNAMED:
+                reported = source.statements[entry.endpoint].values()
+                age = min(now - statement.received_at for statement in reported)
+                names = sorted({statement.claim.name for statement in reported})
+                reports[name] = {"says": state.value, "age_s": _seconds(age), "name": names[0]}
         standby = entry.serves and not self.bands.is_open(entry.server)
         return {
             "server": entry.server,
             "state": "standby" if standby else "serving" if entry.serves else "leaving",
             "rule": entry.rule.name.lower(),
             "why": entry.rule.value,
-            "decided_by": [name for name, said in words.items() if said["says"] in DECIDES[entry.rule]],
+            "decided_by": [
+                name for name, reported in reports.items() if reported["says"] in DECIDING_STATES[entry.rule]
+            ],
             "since_s": _seconds(now - entry.since),
             "priority": entry.priority,
             "weight": entry.weight,
             "transport": entry.transport,
             "started_s": None if entry.started is None else _seconds(now - entry.started),
-            "sources": words,
+            "sources": reports,
         }
 
-    def _parts(self, now: datetime, name: str) -> list[dict[str, object]]:
+    def _parts_view(self, now: datetime, name: str) -> list[dict[str, object]]:
         return [
             {
                 "part": part_name,
-                "worth": part.age(now).value,
-                "heard_s": None if part.heard_at is None else _seconds(now - part.heard_at),
+                "worth": part.state_at(now).value,
+                "heard_s": None if part.last_answer_at is None else _seconds(now - part.last_answer_at),
                 "failures": part.failures,
                 "failure": part.failure,
             }
@@ -168,34 +170,34 @@
 
     # --- slices ---
 
-    def _job(self, job: Iterator[Slice]) -> None:
-        """Begin a long word at once: whom it says to leave waits behind nobody's news."""
+    def _add_job(self, job: Iterator[Slice]) -> None:
+        """Start processing an update at once: its leaving servers must not wait behind other updates."""
         self._urgent.append(job)
-        self._step(self._urgent)
-        if not self._working and (self._urgent or self._jobs):
-            self._working = True
-            self.loop.call_later(BETWEEN_SLICES, self._work)
-
-    def _work(self) -> None:
-        """One slice; the next one in a later turn, so that calls are not kept waiting."""
-        self._step(self._urgent or self._jobs)
-        self._working = bool(self._urgent or self._jobs)
-        if self._working:
-            self.loop.call_later(BETWEEN_SLICES, self._work)
-
-    def _step(self, jobs: deque[Iterator[Slice]]) -> None:
-        """The next slice of the first of these; once it has only servers that stay, it waits its turn."""
-        found = next(jobs[0], None)
-        if found is None:
+        self._run_slice(self._urgent)
+        if not self._slice_scheduled and (self._urgent or self._background):
+            self._slice_scheduled = True
+            self.loop.call_later(SLICE_INTERVAL, self._run_next_slice)
+
+    def _run_next_slice(self) -> None:
+        """Process one slice; the next one runs in a later turn, so that calls are not delayed."""
+        self._run_slice(self._urgent or self._background)
+        self._slice_scheduled = bool(self._urgent or self._background)
+        if self._slice_scheduled:
+            self.loop.call_later(SLICE_INTERVAL, self._run_next_slice)
+
+    def _run_slice(self, jobs: deque[Iterator[Slice]]) -> None:
+        """Process a slice of the first job; without leaving servers left, it becomes a background job."""
+        result = next(jobs[0], None)
+        if result is None:
             jobs.popleft()
-            self._watch_time()
+            self._schedule_expiry()
             return
-        if jobs is self._urgent and not found.urgent:
-            self._jobs.append(jobs.popleft())
-        self._tell(found.changes)
+        if jobs is self._urgent and not result.urgent:
+            self._background.append(jobs.popleft())
+        self._publish(result.changes)
 
-    def _tell(self, changes: Sequence[Change]) -> None:
-        """Bands first, then the core; where that opens or closes a band, its other members as well."""
+    def _publish(self, changes: Sequence[Change]) -> None:
+        """Update the bands, then the core; when a band opens or closes, also its other members."""
         if not changes and self._version:
             return
         before = self.bands.open
@@ -204,93 +206,93 @@
             if entry.serves and not change.removed:
                 self.bands.put(entry.server, entry.number, entry.priority, entry.weight)
             else:
-                self.bands.take(entry.server)
+                self.bands.remove(entry.server)
         entries = [change.entry for change in changes]
         removed = {change.entry.server for change in changes if change.removed}
         if self.bands.open != before:
-            touched = {entry.server for entry in entries}
-            entries += [entry for entry in self._moved() if entry.server not in touched]
-        self._to_core(entries, removed)
-        self._watch_bands()
+            affected = {entry.server for entry in entries}
+            entries += [entry for entry in self._band_changes() if entry.server not in affected]
+        self._notify_core(entries, removed)
+        self._schedule_band_check()
         for change in changes:
-            for hear in self._changed:
-                hear(change.entry, change.removed)
+            for listener in self._change_listeners:
+                listener(change.entry, change.removed)
 
-    def _moved(self) -> list[Entry]:
-        """Servers of which the core has heard something else than whether their band is open now."""
+    def _band_changes(self) -> list[Entry]:
+        """Return the serving entries whose state in the core differs from whether their band is open."""
         return [
             entry
             for entry in self.pool.entries.values()
-            if entry.serves and bool(self._told.get(entry.server)) != self.bands.is_open(entry.server)
+            if entry.serves and bool(self._core_state.get(entry.server)) != self.bands.is_open(entry.server)
         ]
 
-    def _to_core(self, entries: Iterable[Entry], removed: Iterable[str] = ()) -> None:
-        gone, told = set(removed), []
+    def _notify_core(self, entries: Iterable[Entry], removed: Iterable[str] = ()) -> None:
+        removed_servers, listed = set(removed), []
         for entry in entries:
-            opened = entry.serves and self.bands.is_open(entry.server)
-            serving = opened and entry.server not in gone
-            if not serving and entry.server not in self._told:
-                continue  # the core has never heard of it, and nothing went there
-            if entry.server in gone:
-                del self._told[entry.server]
+            band_open = entry.serves and self.bands.is_open(entry.server)
+            serving = band_open and entry.server not in removed_servers
+            if not serving and entry.server not in self._core_state:
+                continue  # unknown to the core, so no call was sent to it
+            if entry.server in removed_servers:
+                del self._core_state[entry.server]
                 log(f"{entry.server} ({entry.name}) is removed", "pool.removed")
             else:
-                if self._told.get(entry.server) and not entry.serves:
+                if self._core_state.get(entry.server) and not entry.serves:
                     log(f"{entry.server} ({entry.name}) leaves: {entry.rule.value}", "pool.leaves")
-                self._told[entry.server] = serving
-            told.append(
+                self._core_state[entry.server] = serving
+            listed.append(
                 ListedServer(
                     server=entry.server,
                     address=entry.endpoint,
                     number=entry.number,
                     serving=serving,
-                    removed=entry.server in gone,
+                    removed=entry.server in removed_servers,
                     started=entry.started,
                     transport=entry.transport,
                     band=entry.priority,
-                    standby=entry.serves and not opened,
+                    standby=entry.serves and not band_open,
                 )
             )
         self._version += 1
-        COUNTERS.add("pool.changes", len(told))
-        self._switch.pool_changed(self._version, i.ListKind.CHANGES, told)
+        COUNTERS.add("pool.changes", len(listed))
+        self._switch.pool_changed(self._version, i.ListKind.CHANGES, listed)
 
     # --- time ---
 
-    def _watch_time(self) -> None:
-        if self._lapse is not None:
-            self._lapse.cancel()
-        due = self.pool.lapses_after(self.loop.clock.now())
-        self._lapse = None if due is None else self.loop.call_at(due, self._lapsed)
+    def _schedule_expiry(self) -> None:
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        due = self.pool.next_expiry(self.loop.clock.now())
+        self._expiry_timer = None if due is None else self.loop.call_at(due, self._apply_expiry)
 
-    def _lapsed(self) -> None:
-        self._job(self.pool.lapse(self.loop.clock.now()))
-        self._watch_time()
+    def _apply_expiry(self) -> None:
+        self._add_job(self.pool.apply_expiry(self.loop.clock.now()))
+        self._schedule_expiry()
 
-    def _attempt(self, server: str, outcome: i.Outcome | None) -> None:
+    def _record_attempt(self, server: str, outcome: i.Outcome | None) -> None:
         if outcome is None:
-            self.bands.sent(self.loop.clock.now(), server)
+            self.bands.record_sent(self.loop.clock.now(), server)
         elif outcome is i.Outcome.COMPLETED:
-            self.bands.stood(server)
+            self.bands.record_established(server)
         elif outcome in NOT_REACHED:
-            self.bands.failed(self.loop.clock.now(), server)
+            self.bands.record_failure(self.loop.clock.now(), server)
 
-    def _watch_bands(self) -> None:
-        """Look now and then, as long as there is more than one band."""
-        if self._look is None and self.bands.several:
-            self._look = self.loop.call_later(self.settings.bands.pressure_time / 2, self._look_at_bands)
+    def _schedule_band_check(self) -> None:
+        """Check the bands periodically while there is more than one."""
+        if self._band_timer is None and self.bands.has_multiple:
+            self._band_timer = self.loop.call_later(self.settings.bands.pressure_time / 2, self._check_bands)
 
-    def _look_at_bands(self) -> None:
-        self._look = None
-        if self.bands.look(self.loop.clock.now(), self._switch.oldest_wait):
+    def _check_bands(self) -> None:
+        self._band_timer = None
+        if self.bands.update(self.loop.clock.now(), self._switch.oldest_wait):
             log(f"bands open now: {self.bands.open}", "bands")
-            moved = self._moved()
-            changes = [Change(entry) for entry in moved]
-            self._job(Slice(changes[at : at + SLICE], False) for at in range(0, len(changes), SLICE))
-        self._watch_bands()
+            changed_entries = self._band_changes()
+            changes = [Change(entry) for entry in changed_entries]
+            self._add_job(Slice(changes[at : at + SLICE], False) for at in range(0, len(changes), SLICE))
+        self._schedule_band_check()
 
 
-DECIDES = {
+DECIDING_STATES = {
     Rule.GONE: ("gone",),
     Rule.DRAINING: ("draining",),
     Rule.HEARSAY: (),
--- a/standins/site.py
+++ b/standins/site.py
@@ -173,8 +173,11 @@
             super().run(min(step, end - self.now), step)
             for server in self.servers:
                 place = server.address
-                held = self.host.pool.sources["srv"].word(self.now, place).value
+                held = self.host.pool.sources["srv"].state_of(self.now, place).value
                 if held == "gone":
                     self.referee.leaves(self.now, place)
-                elif self.host.pool.sources["list"].word(self.now, place).value not in ("gone", "draining"):
+                elif self.host.pool.sources["list"].state_of(self.now, place).value not in (
+                    "gone",
+                    "draining",
+                ):
                     self.referee.back(self.now, place)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -72,7 +72,7 @@
     assert site.referee.late(site.servers) == [] and callers.faults() == []
     entry = site.host.pool.entries[site.servers[0].address]
     assert entry.rule is Rule.GONE
-    assert site.host.pool.words(site.now, entry.endpoint)["srv"] is ClaimState.SERVING
+    assert site.host.pool.claim_states(site.now, entry.endpoint)["srv"] is ClaimState.SERVING
 
 
 def test_the_list_is_silent_and_srv_drains(tmp_path: Path) -> None:
@@ -180,7 +180,7 @@
     site.run(5 * S)
     assert site.referee.late(site.servers) == [] and callers.faults() == []
     assert len(site.referee.left) == 3 and callers.share(site.now - 25 * S, site.now) > 0.95
-    assert len(site.host.pool.entries) <= 3 and len(site.host.pool._marks) <= 3
+    assert len(site.host.pool.entries) <= 3 and len(site.host.pool._tombstones) <= 3
 
 
 def test_a_server_moves_between_bands_with_calls_standing(tmp_path: Path) -> None:
@@ -380,7 +380,7 @@
     assert len(site.host.pool.entries) < 100, "it has only begun"
     site.host.full_update("zone", named[1:])
     assert not site.host.pool.entries[leaving].serves
-    told = [entry for entry, serving in site.host._told.items() if not serving]
+    told = [entry for entry, serving in site.host._core_state.items() if not serving]
     assert format_address(leaving) in told, "and the core knows"
     site.run(S)
     site.host.full_update("srv", named, "other", 60 * S)
@@ -397,5 +397,5 @@
         name.host("c0", host)
     begun = site.now
     assert site.until(lambda: len(site.serving()) >= 2000, 5 * S)
-    heard = site.host.pool.sources["srv"].parts["_sip._udp.calls.example."].heard_at
+    heard = site.host.pool.sources["srv"].parts["_sip._udp.calls.example."].last_answer_at
     assert heard is not None and site.now - heard < S and heard - begun < 3 * S
