--- a/reedmount/pool/bands.py
+++ b/reedmount/pool/bands.py
@@ -194,10 +194,10 @@
             for name in self._bands[priority].names
         )
 
-    def _open_next(self, now: datetime, reason: str) -> None:
+    def _open_next(self, now: datetime, why: str) -> None:
         self._open_count += 1
         self._opened_at = now
-        COUNTERS.add(f"bands.opened.{reason}")
+        COUNTERS.add(f"bands.opened.{why}")
 
     def _add_to_band(self, server: str, priority: int) -> None:
         band = self._bands.get(priority)
--- a/reedmount/pool/pool.py
+++ b/reedmount/pool/pool.py
@@ -118,14 +118,14 @@
         part_state = origin.part(part)
         part_state.full_sequence = sequence
         at_startup = self._is_startup_answer(now, part_state)
-        omitted = origin.omitted(part, [claim.endpoint for claim in claims])
+        missing = origin.omitted(part, [claim.endpoint for claim in claims])
         draining = [claim for claim in claims if claim.state is not ClaimState.SERVING]
         serving = [claim for claim in claims if claim.state is ClaimState.SERVING]
-        for begin in range(0, len(omitted), LEAVING_SLICE):
+        for begin in range(0, len(missing), LEAVING_SLICE):
             changes: list[Change] = []
-            for endpoint in omitted[begin : begin + LEAVING_SLICE]:
-                origin.record_omission(now, part, endpoint, sequence)
-                changes += self._update_entry(now, endpoint, None)
+            for omitted_endpoint in missing[begin : begin + LEAVING_SLICE]:
+                origin.record_omission(now, part, omitted_endpoint, sequence)
+                changes += self._update_entry(now, omitted_endpoint, None)
             yield Slice(changes, True)
             if origin.parts.get(part) is not part_state or part_state.full_sequence != sequence:
                 return
@@ -328,13 +328,13 @@
         return self.default_rank
 
     def _add_entry(self, now: datetime, claim: Claim, rule: Rule, started: datetime | None) -> Entry:
-        endpoint = claim.endpoint
-        entry = self.entries[endpoint] = Entry(
-            endpoint, format_address(endpoint), self._assign_number(endpoint), claim.name,
-            self._transport(endpoint),
-            *self._rank(endpoint), rule, now, started,
+        address = claim.endpoint
+        entry = self.entries[address] = Entry(
+            address, format_address(address), self._assign_number(address), claim.name,
+            self._transport(address),
+            *self._rank(address), rule, now, started,
         )  # fmt: skip
-        self._endpoints[entry.server] = endpoint
+        self._endpoints[entry.server] = address
         self._vouched_count += rule in VOUCHED_RULES
         return entry
 
--- a/reedmount/sources/lists.py
+++ b/reedmount/sources/lists.py
@@ -73,13 +73,13 @@
         listed = list(zone_servers(self._zone, self._transports).values())
         claims = [
             Claim(
-                endpoint=server.address,
-                name=server.server.rpartition(":")[0],
-                transport=server.transport,
-                priority=server.priority,
-                weight=server.weight,
+                endpoint=zone_server.address,
+                name=zone_server.server.rpartition(":")[0],
+                transport=zone_server.transport,
+                priority=zone_server.priority,
+                weight=zone_server.weight,
             )
-            for server in listed
+            for zone_server in listed
         ]
         self._host.full_update(ZONE, claims)
         return listed
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -55,13 +55,11 @@
         self.pool = Pool(T0, sources or ("list", "zone", "srv"), expiry_policy)
         self.latest: dict[Endpoint, Change] = {}
 
-    def full_update(
-        self, source: str, *claims: Claim, fresh: timedelta | None = None, **more: object
-    ) -> None:
+    def full(self, source: str, *claims: Claim, fresh: timedelta | None = None, **more: object) -> None:
         for part in self.pool.full_update(self.now, source, claims, fresh_for=fresh, **more):  # type: ignore[arg-type]
             self.take(part.changes)
 
-    def partial_update(self, source: str, *claims: Claim) -> None:
+    def partial(self, source: str, *claims: Claim) -> None:
         self.take(self.pool.partial_update(self.now, source, claims))
 
     def wait(self, span: timedelta) -> None:
@@ -102,29 +100,29 @@
 
 def test_a_server_removed_by_the_list_stays_out_while_srv_names_it() -> None:
     world = World()
-    world.full_update("list", claim(A), claim(B))
-    world.full_update("srv", claim(A), claim(B))
-    world.partial_update("list", claim(A, GONE))
+    world.full("list", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
+    world.partial("list", claim(A, GONE))
     assert world.serving() == {B} and world.latest[A].entry.rule is Rule.GONE
-    world.full_update("srv", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
     world.wait(timedelta(days=2))
     assert world.serving() == {B}, "another source's claim does not undo the removal"
-    world.partial_update("list", claim(A, started=T0 - 60 * S))
+    world.partial("list", claim(A, started=T0 - 60 * S))
     assert world.serving() == {A, B}, "the same source undoes its removal"
 
 
 def test_a_removal_holds_against_a_source_that_names_the_server_later() -> None:
     """The list removes a server, and the first answer of a slow resolver still names it."""
     world = World()
-    world.full_update("list", claim(A), claim(B))
-    world.partial_update("list", claim(A, GONE))
+    world.full("list", claim(A), claim(B))
+    world.partial("list", claim(A, GONE))
     assert A not in world.latest
     world.now += S
-    world.full_update("srv", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
     assert world.serving() == {B}
-    world.full_update("srv", claim(B))
+    world.full("srv", claim(B))
     world.now += timedelta(minutes=11)
-    world.full_update("srv", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
     assert world.serving() == {A, B} and world.started(A) == world.now, (
         "the tombstone has expired; the server is cold"
     )
@@ -132,18 +130,18 @@
 
 def test_a_server_missing_from_the_list_stays_out_while_srv_names_it() -> None:
     world = World()
-    world.full_update("list", claim(A), claim(B))
-    world.full_update("srv", claim(A), claim(B))
-    world.full_update("list", claim(B))
+    world.full("list", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
+    world.full("list", claim(B))
     assert world.serving() == {B}
-    world.full_update("srv", claim(B))
+    world.full("srv", claim(B))
     assert A not in world.latest, "no source names it: removed"
 
 
 def test_failed_answers_drain_no_server_until_the_stale_limit() -> None:
     world = World()
-    world.full_update("list", claim(A))
-    world.full_update("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
+    world.full("list", claim(A))
+    world.full("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
     for _ in range(5):
         world.pool.source_failed("srv", "timeout")
     world.wait(31 * S)
@@ -151,45 +149,45 @@
     assert world.pool.sources["srv"].parts[""].failures == 5
     world.wait(60 * S)
     assert world.serving() == {A} and world.latest[B].entry.rule is Rule.EXPIRED
-    world.full_update("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
+    world.full("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
     assert world.serving() == {A, B} and world.started(B) == world.now, "it returns and counts as cold"
     assert world.started(A) is None
 
 
 def test_last_resorts_serve_only_while_no_other_server_does() -> None:
     world = World(ExpiryPolicy.LAST_RESORT)
-    world.full_update("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
+    world.full("srv", claim(A), claim(B), fresh=30 * S, keep_for=60 * S)
     world.wait(91 * S)
     assert world.serving() == {A, B} and world.latest[A].entry.rule is Rule.LAST_RESORT
     assert world.started(A) is None, "it never stopped serving"
-    world.partial_update("list", claim(C))
+    world.partial("list", claim(C))
     assert world.serving() == {C}
-    world.partial_update("list", claim(C, GONE))
+    world.partial("list", claim(C, GONE))
     assert world.serving() == {A, B}
 
 
 def test_an_empty_answer_drains_only_the_servers_of_its_own_source() -> None:
     world = World()
-    world.full_update("list", claim(A))
-    world.full_update("srv", claim(B))
-    world.full_update("srv")
+    world.full("list", claim(A))
+    world.full("srv", claim(B))
+    world.full("srv")
     assert world.serving() == {A}
 
 
 def test_servers_are_cold_that_are_added_after_startup_or_return() -> None:
     world = World()
-    world.full_update("list", claim(A))
+    world.full("list", claim(A))
     world.now += S
-    world.full_update("srv", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
     assert world.started(A) is None and world.started(B) is None, (
         "the first answer of each source, at startup"
     )
     world.now += 2 * S
-    world.full_update("srv", claim(A), claim(B), claim(C))
+    world.full("srv", claim(A), claim(B), claim(C))
     assert world.started(C) == world.now
-    world.full_update("srv", claim(A), claim(C))
+    world.full("srv", claim(A), claim(C))
     world.now += S
-    world.full_update("srv", claim(A), claim(B), claim(C))
+    world.full("srv", claim(A), claim(B), claim(C))
     assert B not in world.latest or world.started(B) == world.now
     assert world.started(A) is None
 
@@ -197,69 +195,69 @@
 def test_servers_of_a_first_answer_long_after_startup_are_cold() -> None:
     """With all name servers dead at startup, servers that they name an hour later may have started since."""
     world = World()
-    world.full_update("list", claim(A))
+    world.full("list", claim(A))
     world.now += timedelta(hours=1)
-    world.full_update("srv", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
     assert world.started(A) is None and world.started(B) == world.now
 
 
 def test_a_cold_server_named_by_two_sources_at_different_times_starts_once() -> None:
     world = World()
-    world.full_update("list", claim(A))
-    world.full_update("srv", claim(A))
+    world.full("list", claim(A))
+    world.full("srv", claim(A))
     world.now += 20 * S
-    world.full_update("srv", claim(A), claim(B))
+    world.full("srv", claim(A), claim(B))
     first = world.now
     world.now += 5 * S
-    world.partial_update("list", claim(B, started=first - 2 * S))
+    world.partial("list", claim(B, started=first - 2 * S))
     assert world.started(B) == first, "an earlier start time is not a second start"
     world.now += 5 * S
-    world.partial_update("list", claim(B, started=first + 8 * S))
+    world.partial("list", claim(B, started=first + 8 * S))
     assert world.started(B) == first + 8 * S, "a later start time is another process"
 
 
 def test_a_start_time_from_a_second_source_makes_a_server_cold() -> None:
     world = World()
-    world.full_update("srv", claim(A))
-    world.full_update("list", claim(A, started=T0 - 2 * S))
+    world.full("srv", claim(A))
+    world.full("list", claim(A, started=T0 - 2 * S))
     assert world.started(A) == T0 - 2 * S
 
 
 def test_the_removal_of_an_older_process_spares_its_successor_at_the_address() -> None:
     world = World()
-    world.full_update("list", claim(A, name="c-1"))
+    world.full("list", claim(A, name="c-1"))
     world.now += S
-    world.partial_update("list", claim(A, name="c-2", started=world.now))
-    world.partial_update("list", claim(A, GONE, name="c-1"))
+    world.partial("list", claim(A, name="c-2", started=world.now))
+    world.partial("list", claim(A, GONE, name="c-1"))
     assert world.serving() == {A} and world.latest[A].entry.name == "c-2"
 
 
 def test_a_revoked_drain_keeps_the_known_start_time() -> None:
     world = World()
-    world.full_update("list", claim(A, started=T0 - 5 * S))
-    world.partial_update("list", claim(A, DRAINING, started=T0 - 5 * S))
+    world.full("list", claim(A, started=T0 - 5 * S))
+    world.partial("list", claim(A, DRAINING, started=T0 - 5 * S))
     assert not world.serving()
     world.now += 5 * S
-    world.partial_update("list", claim(A, started=T0 - 5 * S))
+    world.partial("list", claim(A, started=T0 - 5 * S))
     assert world.serving() == {A} and world.started(A) == T0 - 5 * S
 
 
 def test_parts_of_one_source_are_updated_independently() -> None:
     """With SRV names for TCP and UDP, a server that leaves one of them is still named by the other."""
     world = World()
-    world.full_update("srv", claim(A, transport="tcp"), claim(B, transport="tcp"), part="tcp")
-    world.full_update("srv", claim(A, transport="udp"), part="udp")
-    world.full_update("srv", claim(B, transport="tcp"), part="tcp")
+    world.full("srv", claim(A, transport="tcp"), claim(B, transport="tcp"), part="tcp")
+    world.full("srv", claim(A, transport="udp"), part="udp")
+    world.full("srv", claim(B, transport="tcp"), part="tcp")
     assert world.serving() == {A, B} and world.latest[A].entry.transport == "udp"
-    world.full_update("srv", part="udp")
+    world.full("srv", part="udp")
     assert world.serving() == {B}
 
 
 def test_a_dropped_part_no_longer_counts() -> None:
     world = World()
-    world.full_update("list", claim(A), claim(B))
-    world.full_update("srv", claim(A), claim(C))
-    world.full_update("srv", claim(C))
+    world.full("list", claim(A), claim(B))
+    world.full("srv", claim(A), claim(C))
+    world.full("srv", claim(C))
     assert world.serving() == {B, C}
     world.take(world.pool.drop_part(world.now, "srv", ""))
     assert world.serving() == {A, B} and world.started(A) == world.now
@@ -267,8 +265,8 @@
 
 def test_rank_and_transport_come_from_the_first_source_that_gives_them() -> None:
     world = World()
-    world.full_update("list", claim(A, transport="udp"))
-    world.full_update("srv", claim(A, transport="tcp", priority=20, weight=7))
+    world.full("list", claim(A, transport="udp"))
+    world.full("srv", claim(A, transport="tcp", priority=20, weight=7))
     entry = world.latest[A].entry
     assert (entry.transport, entry.priority, entry.weight) == ("udp", 20, 7)
 
@@ -276,23 +274,23 @@
 def test_entries_and_tombstones_are_bounded_and_numbers_unique() -> None:
     world = World()
     endpoints = [(f"10.{n // 65536}.{n // 256 % 256}.{n % 256}", 5060) for n in range(MAX_SERVERS + 50)]
-    world.full_update("srv", *(claim(endpoint) for endpoint in endpoints))
+    world.full("srv", *(claim(endpoint) for endpoint in endpoints))
     assert len(world.pool.entries) == MAX_SERVERS
     assert len({entry.number for entry in world.pool.entries.values()}) == MAX_SERVERS
-    world.full_update("srv", claim(A))
+    world.full("srv", claim(A))
     for turn in range(3):
-        world.partial_update("list", *(claim((f"10.9.{turn}.{n}", n + 1), GONE) for n in range(2000)))
+        world.partial("list", *(claim((f"10.9.{turn}.{n}", n + 1), GONE) for n in range(2000)))
     assert list(world.latest) == [A]
     assert len(world.pool._tombstones) <= MAX_TOMBSTONES
     world.now += timedelta(minutes=11)
-    world.partial_update("list", claim(B))
+    world.partial("list", claim(B))
     assert len(world.pool._tombstones) == 0 and set(world.pool.sources["list"].statements) == {B}
 
 
 def test_leaving_servers_come_first_and_slices_are_bounded() -> None:
     world = World()
     endpoints = [("10.0.0.1", port) for port in range(1, 1001)]
-    world.full_update("srv", *(claim(endpoint) for endpoint in endpoints))
+    world.full("srv", *(claim(endpoint) for endpoint in endpoints))
     slices = list(
         world.pool.full_update(world.now, "srv", [claim(("10.0.0.2", port)) for port in range(1, 1001)])
     )
@@ -304,26 +302,26 @@
 
 def test_a_draining_server_is_in_the_first_slice_of_a_long_list() -> None:
     world = World()
-    endpoints = [("10.0.0.1", port) for port in range(1, 201)]
-    world.full_update("list", *(claim(endpoint) for endpoint in endpoints))
-    claims = [*(claim(endpoint) for endpoint in endpoints[:-1]), claim(endpoints[-1], DRAINING)]
+    addresses = [("10.0.0.1", port) for port in range(1, 201)]
+    world.full("list", *(claim(address) for address in addresses))
+    claims = [*(claim(address) for address in addresses[:-1]), claim(addresses[-1], DRAINING)]
     first = next(part for part in world.pool.full_update(world.now, "list", claims) if part.changes)
-    assert [change.entry.endpoint for change in first.changes] == [endpoints[-1]] and first.urgent
+    assert [change.entry.endpoint for change in first.changes] == [addresses[-1]] and first.urgent
 
 
 def test_a_newer_update_takes_precedence_over_one_still_being_applied() -> None:
     world = World()
     endpoints = [("10.0.0.1", port) for port in range(1, 201)]
-    world.full_update("list", *(claim(endpoint) for endpoint in endpoints))
+    world.full("list", *(claim(endpoint) for endpoint in endpoints))
     update = world.pool.full_update(world.now, "list", [claim(endpoint) for endpoint in endpoints])
     next(update)
-    world.partial_update("list", claim(endpoints[-1], DRAINING))
+    world.partial("list", claim(endpoints[-1], DRAINING))
     for part in update:
         world.take(part.changes)
     assert world.latest[endpoints[-1]].entry.rule is Rule.DRAINING
     superseded = world.pool.full_update(world.now, "list", [claim(endpoint) for endpoint in (*endpoints, A)])
     next(superseded)
-    world.full_update("list", *(claim(endpoint) for endpoint in endpoints[:100]))
+    world.full("list", *(claim(endpoint) for endpoint in endpoints[:100]))
     for part in superseded:
         world.take(part.changes)
     assert world.serving() == set(endpoints[:100]), "a newer full update ends the one before"
@@ -346,17 +344,17 @@
     world = World()
     last_states: dict[tuple[str, Endpoint], ClaimState] = {}
     known_starts: dict[Endpoint, datetime] = {}
-    for (source, endpoint, state, is_full_update), pause in events:
+    for (source, address, state, full), pause in events:
         world.now += pause * S
         serving = world.serving()
-        if is_full_update and state is ClaimState.SERVING:
-            world.full_update(source, claim(endpoint), fresh=10 * S, keep_for=1000 * S)
+        if full and state is ClaimState.SERVING:
+            world.full(source, claim(address), fresh=10 * S, keep_for=1000 * S)
             for other in (A, B, C):
-                if last_states.get((source, other)) is not None and other != endpoint:
+                if last_states.get((source, other)) is not None and other != address:
                     last_states[source, other] = ClaimState.GONE
         else:
-            world.partial_update(source, claim(endpoint, state))
-        last_states[source, endpoint] = state
+            world.partial(source, claim(address, state))
+        last_states[source, address] = state
         for other in world.serving():
             assert ClaimState.SERVING in (last_states.get(("list", other)), last_states.get(("srv", other)))
             assert not {last_states.get(("list", other)), last_states.get(("srv", other))} & {
@@ -367,4 +365,4 @@
             if other not in serving and other in known_starts:
                 assert started == world.now, "a server that returns is cold"
             known_starts[other] = started or T0
-        assert all(entry.endpoint == endpoint for endpoint, entry in world.pool.entries.items())
+        assert all(entry.endpoint == address for address, entry in world.pool.entries.items())
