--- a/reedmount/dns/__init__.py
+++ b/reedmount/dns/__init__.py
@@ -1,1 +1,1 @@
-"""DNS: zone files, what they say of the call servers, and dynamic updates."""
+"""DNS: resolver, SRV lookups, zone files and dynamic updates."""
--- a/reedmount/dns/answers.py
+++ b/reedmount/dns/answers.py
@@ -1,4 +1,4 @@
-"""What a reply means for the question that was asked: an answer, a way onwards, or nothing at all. Pure."""
+"""Interprets a reply to a question: an answer, a CNAME to follow, or a fault. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from reedmount.dns.reader import Question, Record, Reply, Target
 
-MAX_CHAIN = 8  # CNAMEs from the name asked for to one that has the records
+MAX_CHAIN = 8  # CNAMEs between the queried name and the records
 ADDRESS_TYPES = (dns.rdatatype.A, dns.rdatatype.AAAA)
 
 
 class Fault(Enum):
-    """Why a try brought no answer. None of these says anything of any call server."""
+    """Why a try brought no answer. No fault affects the state of a call server."""
 
     LOST = "no answer in time"
     UNREACHABLE = "the name server is not reachable"
@@ -39,59 +39,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A complete, good answer; without records it says that there are none (RFC 2308)."""
+    """A complete, valid answer; without records it is a negative answer (RFC 2308)."""
 
-    ttl: int  # seconds; of all records on the way the shortest
+    ttl: int  # seconds; the lowest TTL of the records and the CNAME chain
     targets: tuple[Target, ...] = ()
     addresses: tuple[str, ...] = ()
-    extra: dict[Question, Answer] = field(default_factory=dict)  # addresses of targets that came along
+    extra: dict[Question, Answer] = field(default_factory=dict)  # target addresses in the same reply
 
     @property
     def records(self) -> int:
-        """How many records it holds, with those that came along."""
+        """The number of records, with those of the additional section."""
         return len(self.targets) + len(self.addresses) + sum(item.records for item in self.extra.values())
 
 
 @dataclass(frozen=True, slots=True)
-class Onwards:
-    """The records are under another name (CNAME) that this reply does not have."""
+class CnameRedirect:
+    """The records are under another name (CNAME) that this reply does not contain."""
 
     name: str
     ttl: int
-    passed: tuple[str, ...]  # the names on the way
+    previous_names: tuple[str, ...]  # the names of the chain so far
 
 
-def meaning(reply: Reply, question: Question, passed: tuple[str, ...] = ()) -> Answer | Onwards | Fault:
-    """What a whole, uncut reply to this question says; ``passed`` are the names of the chain before it."""
-    if reply.cut:
+def interpret(
+    reply: Reply, question: Question, previous_names: tuple[str, ...] = ()
+) -> Answer | CnameRedirect | Fault:
+    """Interpret a reply to the question; ``previous_names`` are the names of the CNAME chain before it."""
+    if reply.is_truncated:
         return Fault.CUT
     if reply.rcode not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
         return FAULTS.get(dns.rcode.Rcode(reply.rcode), Fault.OTHER)
     aliases = {record.name: record for record in reply.answer if record.rdtype == dns.rdatatype.CNAME}
-    name, ttl, way = question.name, 2**31 - 1, [*passed, question.name]
+    name, ttl, visited = question.name, 2**31 - 1, [*previous_names, question.name]
     while name in aliases:
         record = aliases[name]
         if not isinstance(record.data, str):
             return Fault.UNREADABLE
         name, ttl = record.data, min(ttl, record.ttl)
-        if name in way or len(way) > MAX_CHAIN:
+        if name in visited or len(visited) > MAX_CHAIN:
             return Fault.CHAIN
-        way.append(name)
-    found = [item for item in reply.answer if item.rdtype == question.rdtype and item.name == name]
-    if found:
-        ttl = min(ttl, *(record.ttl for record in found))
-        targets, addresses = _targets(found), _addresses(found)
+        visited.append(name)
+    matching = [item for item in reply.answer if item.rdtype == question.rdtype and item.name == name]
+    if matching:
+        ttl = min(ttl, *(record.ttl for record in matching))
+        targets, addresses = _targets(matching), _addresses(matching)
         return Answer(ttl, targets, addresses, _extra(reply, targets))
-    soa = _soa(reply, name)
-    if soa is not None:
-        return Answer(min(ttl, soa))
+    negative_ttl = _negative_ttl(reply, name)
+    if negative_ttl is not None:
+        return Answer(min(ttl, negative_ttl))
     if name != question.name:
-        return Onwards(name, ttl, tuple(way[:-1]))
+        return CnameRedirect(name, ttl, tuple(visited[:-1]))
     return Fault.LAME
 
 
 def _targets(records: list[Record]) -> tuple[Target, ...]:
-    """In an order of their own, so that a name server that turns them round changes nothing."""
+    """Return the SRV targets, sorted, as name servers may rotate the order of records."""
     return tuple(sorted({record.data for record in records if isinstance(record.data, Target)}))
 
 
@@ -100,7 +102,7 @@
 
 
 def _extra(reply: Reply, targets: tuple[Target, ...]) -> dict[Question, Answer]:
-    """Addresses in the additional section, of the targets named and of nothing else."""
+    """Return the addresses of the targets, and of no other name, from the additional section."""
     wanted = {target.host for target in targets}
     grouped: dict[Question, list[Record]] = {}
     for record in reply.additional:
@@ -113,13 +115,13 @@
     }
 
 
-def _soa(reply: Reply, name: str) -> int | None:
-    """How long a negative answer holds, where the zone that gives it says so (RFC 2308, section 5)."""
+def _negative_ttl(reply: Reply, name: str) -> int | None:
+    """Return the TTL of a negative answer, from the SOA record of its zone (RFC 2308, section 5)."""
     for record in reply.authority:
-        if isinstance(record.data, int) and _within(name, record.name):
+        if isinstance(record.data, int) and _is_in_zone(name, record.name):
             return min(record.ttl, record.data)
     return None
 
 
-def _within(name: str, zone: str) -> bool:
+def _is_in_zone(name: str, zone: str) -> bool:
     return zone == "." or name == zone or name.endswith(f".{zone}")
--- a/reedmount/dns/query.py
+++ b/reedmount/dns/query.py
@@ -1,4 +1,4 @@
-"""One question on its way from name server to name server: whom next, how, and when to stop. Pure."""
+"""One question sent to one name server after another: which is next, how, and when to give up. No I/O."""
 
 from __future__ import annotations
 
@@ -8,148 +8,154 @@
 from datetime import datetime, timedelta
 
 from reedmount.dns.answers import Fault
-from reedmount.dns.health import TCP_AFTER, NameServers, Over
+from reedmount.dns.health import TCP_AFTER_LOSSES, NameServers, Transport
 from reedmount.net.connection import Address
 
-WAY_FAULTS = frozenset({Fault.LOST, Fault.UNREACHABLE, Fault.HALF})  # nothing came back: the way, or the NS
-MIN_TRIAL = timedelta(milliseconds=100)  # a trial waits four times what the name server took, and no less
-TRIAL_TIMES = 4
+TRANSPORT_FAULTS = frozenset({Fault.LOST, Fault.UNREACHABLE, Fault.HALF})  # no response at all
+MIN_TRIAL_TIMEOUT = timedelta(milliseconds=100)
+TRIAL_TIMEOUT_FACTOR = 4  # of the usual response time of the name server
 
 
 @dataclass(frozen=True, slots=True)
 class QueryTimeouts:
-    """How long a question and its tries may take."""
+    """Time limits of a question and its tries."""
 
     deadline: timedelta = timedelta(seconds=5)
-    first: timedelta = timedelta(milliseconds=400)  # for the answer to the first datagram; then doubled
-    longest: timedelta = timedelta(seconds=2)  # for any one try
+    first: timedelta = timedelta(milliseconds=400)  # for the first datagram; doubled with each round
+    longest: timedelta = timedelta(seconds=2)  # for a single try
     tcp: timedelta = timedelta(seconds=2)
-    pause: timedelta = timedelta(milliseconds=300)  # once all have refused; then doubled
+    pause: timedelta = timedelta(milliseconds=300)  # after a round without an answer; doubled with each round
 
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """Ask this name server in this way, and wait so long."""
+    """Query this name server over this transport, with this timeout."""
 
     server: Address
-    over: Over
+    transport: Transport
     id: int
     edns: bool
-    wait: timedelta
-    began: datetime
+    timeout: timedelta
+    started_at: datetime
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Nobody is to be asked now."""
+    """Send no query until then."""
 
     until: datetime
 
 
 @dataclass(frozen=True, slots=True)
 class LookupFailed:
-    """The end, without an answer."""
+    """The question has failed."""
 
     why: str
 
 
 @dataclass(slots=True)
 class Query:
-    """A question that is out. ``next`` after each end of a try, until it was answered or is given up."""
+    """A question in progress. Call ``next`` after each try, until it is answered or given up."""
 
-    began: datetime
+    started_at: datetime
     health: NameServers
     timeouts: QueryTimeouts
     rng: random.Random
     tries: int = 0
-    last: Fault = Fault.LOST
-    _lost: dict[Address, int] = field(default_factory=dict)
-    _passed: set[Address] = field(default_factory=set)  # have had their turn in this round
-    _plain: set[Address] = field(default_factory=set)  # do not know EDNS
-    _again: tuple[Address, Over] | None = None  # the same one, another way
-    _trials: set[Address] = field(default_factory=set)  # that had failed when this question tried them
-    _ways: dict[Address, set[Over]] = field(default_factory=dict)  # that were tried, of each
+    last_fault: Fault = Fault.LOST
+    _losses: dict[Address, int] = field(default_factory=dict)
+    _tried_this_round: set[Address] = field(default_factory=set)
+    _without_edns: set[Address] = field(default_factory=set)  # do not support EDNS
+    _retry: tuple[Address, Transport] | None = None  # the same name server once more
+    _trials: set[Address] = field(default_factory=set)  # had failed before this question tried them
+    _transports: dict[Address, set[Transport]] = field(default_factory=dict)  # tried, by name server
     _rounds: int = 0
 
     @property
-    def ends(self) -> datetime:
-        """When it is given up whatever is under way."""
-        return self.began + self.timeouts.deadline
+    def gives_up_at(self) -> datetime:
+        """When the question is given up, whatever its state."""
+        return self.started_at + self.timeouts.deadline
 
     def next(self, now: datetime) -> Try | Pause | LookupFailed:
-        """What to do now that nothing is under way."""
-        if now >= self.ends:
-            return LookupFailed(f"{self.last.value} within {self.timeouts.deadline.total_seconds():g} s")
-        if self._again is not None:
-            (server, over), self._again = self._again, None
-            return self._try(now, server, over)
-        picked = self.health.pick(now, self._passed)
+        """Return the next step when no try is in progress."""
+        if now >= self.gives_up_at:
+            return LookupFailed(
+                f"{self.last_fault.value} within {self.timeouts.deadline.total_seconds():g} s"
+            )
+        if self._retry is not None:
+            (server, transport), self._retry = self._retry, None
+            return self._make_try(now, server, transport)
+        picked = self.health.pick(now, self._tried_this_round)
         if picked is not None:
             server, trial = picked
-            self._passed.add(server)
+            self._tried_this_round.add(server)
             if trial:
                 self._trials.add(server)
-            return self._try(now, server, self._way(server))
-        if self._passed:
-            # All had their turn: another round after a pause.
-            self._passed.clear()
+            return self._make_try(now, server, self._choose_transport(server))
+        if self._tried_this_round:
+            # All were tried: start another round after a pause.
+            self._tried_this_round.clear()
             self._rounds += 1
             pause = self.timeouts.pause * 2.0 ** min(self._rounds - 1, 8) * self.rng.uniform(0.75, 1.25)
-            return Pause(min(now + pause, self.ends))
+            return Pause(min(now + pause, self.gives_up_at))
         due = self.health.next_due(now)
-        if due is None or due >= self.ends:
+        if due is None or due >= self.gives_up_at:
             return LookupFailed("all name servers are dead, and none is due for a trial")
         return Pause(max(due, now + timedelta(milliseconds=1)))
 
-    def failed(self, now: datetime, tried: Try, fault: Fault) -> None:
-        """A try brought nothing that counts."""
-        self.last = fault
-        server, over = tried.server, tried.over
-        if fault is Fault.CUT and over is Over.UDP:
-            self.health.way(now, server, over, came_through=True)
-            self.health.answered(server, now - tried.began)
-            self._again = (server, Over.TCP)
+    def record_failure(self, now: datetime, tried: Try, fault: Fault) -> None:
+        """Record a try without a valid answer."""
+        self.last_fault = fault
+        server, transport = tried.server, tried.transport
+        if fault is Fault.CUT and transport is Transport.UDP:
+            self.health.record_transport_result(now, server, transport, received=True)
+            self.health.record_answer(server, now - tried.started_at)
+            self._retry = (server, Transport.TCP)
             return
         if fault is Fault.FORMERR and tried.edns:
-            # A name server from before EDNS (RFC 6891, section 6.2.2).
-            self._plain.add(server)
-            self._again = (server, over)
+            # It does not support EDNS (RFC 6891, section 6.2.2).
+            self._without_edns.add(server)
+            self._retry = (server, transport)
             return
-        lost = fault in WAY_FAULTS
-        self.health.way(now, server, over, came_through=not lost)
-        self.health.failed(now, server)
-        if lost and over is Over.UDP:
-            self._lost[server] = self._lost.get(server, 0) + 1
-        if lost and server in self._trials and over.other not in self._ways.get(server, ()):
-            # A trial looks at both ways: one that refuses TCP or drops datagrams is well over the other.
-            self._again = (server, over.other)
-
-    def answered(self, now: datetime, tried: Try) -> None:
-        """A try brought an answer that counts."""
-        self.health.way(now, tried.server, tried.over, came_through=True)
-        self.health.answered(tried.server, now - tried.began)
-
-    def _way(self, server: Address) -> Over:
-        """TCP where datagrams get lost: of this question's, unless TCP fails there as well; else as it went
-        before with this name server."""
+        lost = fault in TRANSPORT_FAULTS
+        self.health.record_transport_result(now, server, transport, received=not lost)
+        self.health.record_failure(now, server)
+        if lost and transport is Transport.UDP:
+            self._losses[server] = self._losses.get(server, 0) + 1
+        if lost and server in self._trials and transport.other not in self._transports.get(server, ()):
+            # A trial checks both transports: one that refuses TCP or drops datagrams may work over the other.
+            self._retry = (server, transport.other)
+
+    def record_answer(self, now: datetime, tried: Try) -> None:
+        """Record a try with a valid answer."""
+        self.health.record_transport_result(now, tried.server, tried.transport, received=True)
+        self.health.record_answer(tried.server, now - tried.started_at)
+
+    def _choose_transport(self, server: Address) -> Transport:
+        """Choose TCP where datagrams of this question get lost, unless TCP fails there as well; else go by
+        the health of this name server."""
         known = self.health.all.get(server)
         if known is None:
-            return Over.UDP
-        repeated = sum(self._lost.values()) >= TCP_AFTER and self._lost.get(server)
-        if repeated and not known.ways[Over.TCP].failed:
-            return Over.TCP
-        return known.way(self.rng)
+            return Transport.UDP
+        repeated = sum(self._losses.values()) >= TCP_AFTER_LOSSES and self._losses.get(server)
+        if repeated and not known.transports[Transport.TCP].failures:
+            return Transport.TCP
+        return known.choose_transport(self.rng)
 
-    def _try(self, now: datetime, server: Address, over: Over) -> Try:
+    def _make_try(self, now: datetime, server: Address, transport: Transport) -> Try:
         self.tries += 1
-        self._ways.setdefault(server, set()).add(over)
-        wait = self.timeouts.tcp
-        if over is Over.UDP:
-            wait = min(self.timeouts.first * 2.0 ** min(self._rounds, 8), self.timeouts.longest)
-            wait *= self.rng.uniform(0.8, 1.2)
+        self._transports.setdefault(server, set()).add(transport)
+        timeout = self.timeouts.tcp
+        if transport is Transport.UDP:
+            timeout = min(self.timeouts.first * 2.0 ** min(self._rounds, 8), self.timeouts.longest)
+            timeout *= self.rng.uniform(0.8, 1.2)
         known = self.health.all.get(server)
         if server in self._trials and known is not None:
-            # One that has failed costs the question that tries it little: it answered in so much before.
-            wait = min(wait, max(MIN_TRIAL, TRIAL_TIMES * timedelta(seconds=known.taken_s)))
-        wait = min(wait, self.ends - now)
-        return Try(server, over, secrets.randbelow(65536), server not in self._plain, wait, now)
+            # Limits what a trial of a failed name server costs the question, by its usual response time.
+            timeout = min(
+                timeout, max(MIN_TRIAL_TIMEOUT, TRIAL_TIMEOUT_FACTOR * timedelta(seconds=known.latency_s))
+            )
+        timeout = min(timeout, self.gives_up_at - now)
+        return Try(
+            server, transport, secrets.randbelow(65536), server not in self._without_edns, timeout, now
+        )
--- a/reedmount/dns/reader.py
+++ b/reedmount/dns/reader.py
@@ -1,7 +1,7 @@
-"""DNS messages from the wire, record by record: reading a long one never holds the loop for long.
+"""Reads DNS messages in slices of records, so that a long one never blocks the event loop for long.
 
-Names and records are read by dnspython; this module walks the sections (RFC 1035, section 4.1) and lets go
-after each slice. Everything is bounded: the message's size by its transport, the records by ``RECORDS_MOST``.
+Names and records are parsed by dnspython; this module walks the sections (RFC 1035, section 4.1) and yields
+after each slice. The size of a message is bounded by its transport, its records by ``MAX_RECORDS``.
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 import dns.wire
 
 MAX_RECORDS = 4000
-SLICE = 24  # records between two looks at the rest of the program
+SLICE = 24  # records read in one turn of the event loop
 HEADER = struct.Struct("!HHHHHH")
 TOP_BIT = 1 << 31
 
 
 class ReadError(ValueError):
-    """Bytes that are no DNS message, or one beyond the bounds."""
+    """Bytes that are not a DNS message, or one that exceeds the limits."""
 
 
 class Question(NamedTuple):
-    """A name, in lower case with its last dot, and the type asked for."""
+    """A name, in lower case with a trailing dot, and the queried type."""
 
     name: str
     rdtype: dns.rdatatype.RdataType
 
     def __str__(self) -> str:
-        """As staff read it."""
+        """Return the name and the type as text."""
         return f"{self.name} {dns.rdatatype.to_text(self.rdtype)}"
 
 
 class Target(NamedTuple):
-    """One SRV record (RFC 2782). In this order they sort."""
+    """An SRV record (RFC 2782). The order of the fields is the sort order."""
 
     priority: int
-    host: str  # "." where the service is decidedly not there
+    host: str  # "." if the service is not available
     port: int
     weight: int
 
 
 class Record(NamedTuple):
-    """One record; ``data`` is None for types that nobody here asks for.
+    """A record; ``data`` is None for types that are not queried here.
 
-    A and AAAA: the address. CNAME: the name. SOA: the minimum (s), which bounds negative answers.
+    A and AAAA: the address. CNAME: the name. SOA: the minimum (s), which limits the TTL of negative answers.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A response as it came."""
+    """A parsed response."""
 
     id: int
     flags: int
@@ -74,15 +74,15 @@
     additional: list[Record] = field(default_factory=list)
 
     @property
-    def cut(self) -> bool:
-        """Whether it was truncated: nothing in it counts then (RFC 2181, section 9)."""
+    def is_truncated(self) -> bool:
+        """Whether it is truncated, and its records must be ignored (RFC 2181, section 9)."""
         return bool(self.flags & dns.flags.TC)
 
 
-def query(number: int, question: Question, payload: int | None) -> bytes:
-    """A question as it goes out, with an OPT record (RFC 6891) where a payload is named."""
+def encode_query(message_id: int, question: Question, payload: int | None) -> bytes:
+    """Encode a query, with an OPT record (RFC 6891) if a payload size is given."""
     flags = dns.flags.RD
-    wire = HEADER.pack(number, flags, 1, 0, 0, 0 if payload is None else 1)
+    wire = HEADER.pack(message_id, flags, 1, 0, 0, 0 if payload is None else 1)
     wire += dns.name.from_text(question.name).to_wire() or b""
     wire += struct.pack("!HH", question.rdtype, dns.rdataclass.IN)
     if payload is not None:
@@ -90,82 +90,82 @@
     return wire
 
 
-def name_of(name: dns.name.Name) -> str:
-    """A name as it is compared here."""
+def normalize_name(name: dns.name.Name) -> str:
+    """Return a name in the form used for comparison."""
     return name.to_text().lower()
 
 
 def read_head(wire: bytes) -> Reply:
-    """The header and the question alone: enough to tell whether it is an answer to what was asked."""
+    """Read only the header and the question: enough to match a response to its query. Raises ReadError."""
     try:
-        reply, _, _ = _head(wire)
+        reply, _, _ = _parse_head(wire)
     except (dns.exception.DNSException, struct.error, ValueError, IndexError) as error:
         raise ReadError(f"{type(error).__name__} {error}") from None
     return reply
 
 
 def read_reply(wire: bytes) -> Generator[None, None, Reply]:
-    """The whole message; yields after each slice of records. Raises ReadError."""
+    """Read the whole message; yields after each slice of records. Raises ReadError."""
     try:
-        reply, parser, counts = _head(wire)
+        reply, parser, counts = _parse_head(wire)
         if sum(counts) > MAX_RECORDS:
             raise ReadError(f"{sum(counts)} records")
-        done = 0
+        records_read = 0
         sections = (reply.answer, reply.authority, reply.additional)
         for section, count in zip(sections, counts, strict=True):
             for _ in range(count):
-                record = _record(parser)
+                record = _parse_record(parser)
                 if record.rdtype == dns.rdatatype.OPT:
                     reply.rcode |= record.ttl >> 24 << 4  # RFC 6891, section 6.1.3
                 else:
                     section.append(record)
-                done += 1
-                if done % SLICE == 0:
+                records_read += 1
+                if records_read % SLICE == 0:
                     yield
         return reply
     except (dns.exception.DNSException, struct.error, ValueError, IndexError) as error:
         raise ReadError(f"{type(error).__name__} {error}") from None
 
 
-def _head(wire: bytes) -> tuple[Reply, dns.wire.Parser, tuple[int, int, int]]:
+def _parse_head(wire: bytes) -> tuple[Reply, dns.wire.Parser, tuple[int, int, int]]:
     if len(wire) < HEADER.size:
         raise ReadError("shorter than a header")
-    number, flags, asked, *counts = HEADER.unpack_from(wire)
+    message_id, flags, question_count, *counts = HEADER.unpack_from(wire)
     parser = dns.wire.Parser(wire, HEADER.size)
     question = None
-    if asked > 1:
-        raise ReadError(f"{asked} questions")
-    if asked:
+    if question_count > 1:
+        raise ReadError(f"{question_count} questions")
+    if question_count:
         name = parser.get_name()
         rdtype, rdclass = parser.get_struct("!HH")
         if rdclass == dns.rdataclass.IN:
-            question = Question(name_of(name), dns.rdatatype.RdataType.make(rdtype))
-    return Reply(number, flags, flags & 15, question), parser, (counts[0], counts[1], counts[2])
+            question = Question(normalize_name(name), dns.rdatatype.RdataType.make(rdtype))
+    return Reply(message_id, flags, flags & 15, question), parser, (counts[0], counts[1], counts[2])
 
 
-def _record(parser: dns.wire.Parser) -> Record:
+def _parse_record(parser: dns.wire.Parser) -> Record:
     name = parser.get_name()
     rdtype, rdclass, ttl, length = parser.get_struct("!HHIH")
     with parser.restrict_to(length):
-        data = _data(parser, rdtype) if rdclass == dns.rdataclass.IN else None
+        data = _parse_rdata(parser, rdtype) if rdclass == dns.rdataclass.IN else None
         if data is None:
             parser.get_remaining()
     if rdtype != dns.rdatatype.OPT and ttl & TOP_BIT:
         ttl = 0  # RFC 2181, section 8
-    return Record(name_of(name), rdtype, ttl, data)
+    return Record(normalize_name(name), rdtype, ttl, data)
 
 
-def _data(parser: dns.wire.Parser, rdtype: int) -> Target | str | int | None:
-    """The fields that are looked at here; what is left over in a record makes it unreadable."""
+def _parse_rdata(parser: dns.wire.Parser, rdtype: int) -> Target | str | int | None:
+    """Parse the fields that are used; surplus bytes in a record make the message unreadable."""
     if rdtype == dns.rdatatype.SRV:
         priority, weight, port = parser.get_struct("!HHH")
-        return Target(priority, name_of(parser.get_name()), port, weight)
+        return Target(priority, normalize_name(parser.get_name()), port, weight)
     if rdtype == dns.rdatatype.A:
         return socket.inet_ntop(socket.AF_INET, parser.get_bytes(4))
     if rdtype == dns.rdatatype.AAAA:
         return socket.inet_ntop(socket.AF_INET6, parser.get_bytes(16))
     if rdtype == dns.rdatatype.CNAME:
-        return name_of(parser.get_name())
+        return normalize_name(parser.get_name())
     if rdtype == dns.rdatatype.SOA:
         parser.get_name()
         parser.get_name()
--- a/reedmount/dns/server.py
+++ b/reedmount/dns/server.py
@@ -1,4 +1,4 @@
-"""Where dynamic updates arrive."""
+"""The server that receives dynamic updates."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from reedmount.net.connection import Address, Connection, both
 from reedmount.net.loop import READ, Loop
 
-LONGEST = 65535
+MAX_MESSAGE = 65535  # bytes
 
 
 class UpdateServer:
-    """UDP and TCP at one address, for messages to the primary of the zone."""
+    """Listens on UDP and TCP at one address and passes messages to the primary master of the zone."""
 
     def __init__(self, loop: Loop, address: Address, master: Master) -> None:
         self._loop, self._master = loop, master
@@ -26,7 +26,7 @@
     def _readable(self, _: int) -> None:
         while True:
             try:
-                self._inbox.post(self._udp.recvfrom(LONGEST))
+                self._inbox.post(self._udp.recvfrom(MAX_MESSAGE))
             except BlockingIOError:
                 return
             except OSError:
@@ -48,7 +48,7 @@
             sock.close()
             return
 
-        def heard(connection: Connection) -> None:
+        def handle_data(connection: Connection) -> None:
             ring = connection.incoming
             while len(ring) >= 2 and len(ring) >= 2 + (size := int.from_bytes(ring.peek(2), "big")):
                 wire = ring.peek(2 + size)[2:]
@@ -57,4 +57,4 @@
                 if reply is not None:
                     connection.send(len(reply).to_bytes(2, "big") + reply)
 
-        Connection(self._loop, sock, heard, lambda *_: None)
+        Connection(self._loop, sock, handle_data, lambda *_: None)
--- a/reedmount/dns/srv_lookup.py
+++ b/reedmount/dns/srv_lookup.py
@@ -1,7 +1,7 @@
-"""The watch over one SRV name: when to ask again, which addresses are missing, what the answer says. Pure.
+"""Repeated lookup of one SRV name: when to query again, which addresses to resolve, the result. No I/O.
 
-A round is one question for the name, then those for addresses of its targets that did not come along. It ends
-with all that the name says, or with nothing.
+A round queries the name, then those addresses of its targets that were not in the additional section. It ends
+with a complete result or fails.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from reedmount.dns.reader import Question, Target
 from reedmount.pool.claims import Claim, Endpoint
 
-SLICE = 128  # targets between two looks at the rest of the program
-AHEAD = 0.9  # of a lifetime: then it is asked again, so that it need not lapse
-JITTER = 0.1  # of it earlier at most, lest all that started together ask together
+SLICE = 128  # targets processed in one turn of the event loop
+REFRESH_FRACTION = 0.9  # of the lifetime: refreshed then, before it expires
+REFRESH_JITTER = 0.1  # at most this fraction earlier, so that instances started together spread
 A, AAAA, SRV = dns.rdatatype.A, dns.rdatatype.AAAA, dns.rdatatype.SRV
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """After a round that failed: with each failure in a row twice as long, up to a bound."""
+    """Back-off after a failed round: doubled with each consecutive failure, up to a limit."""
 
     first: timedelta = timedelta(seconds=2)
-    longest: timedelta = timedelta(seconds=10)  # bounds how late a drain is heard after an outage
+    longest: timedelta = timedelta(seconds=10)  # limits the delay of a drain after an outage
 
     def after(self, failures: int, rng: random.Random) -> timedelta:
-        """The next pause."""
+        """Return the time until the next round."""
         return min(self.first * 2.0 ** min(failures - 1, 16), self.longest) * rng.uniform(0.75, 1.25)
 
 
 @dataclass(frozen=True, slots=True)
 class LookupResult:
-    """A round that ended well: everything that the name says, and how long that holds."""
+    """The result of a successful round: all claims of the name, and their lifetime."""
 
     claims: tuple[Claim, ...]
     fresh_for: timedelta
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundFailed:
-    """A round that says nothing."""
+    """A round that failed and affects no server."""
 
     why: str
 
 
 @dataclass(slots=True)
 class SrvLookup:
-    """One SRV name. ``begin`` when it is due; then answers go in until the round is over."""
+    """The lookup of one SRV name. Call ``begin`` when due, then pass the answers until it is complete."""
 
     name: str
     transport: str
@@ -64,101 +64,105 @@
     rng: random.Random
     due_at: datetime | None = None  # None while a round is under way
     failures: int = 0
-    ending: bool = False  # all is there, and what the name says is being put together
+    finishing: bool = False  # all answers are in, and the result is being built
     _targets: tuple[Target, ...] = ()
     _ttl: timedelta = timedelta(0)
-    _asked: set[Question] = field(default_factory=set)  # addresses that are still out
-    _found: dict[Question, Answer | None] = field(default_factory=dict)  # None: could not be learnt
-    _last: dict[Target, Endpoint] = field(default_factory=dict)  # by target, as the last round had it
+    _pending: set[Question] = field(default_factory=set)  # address queries without an answer so far
+    _address_answers: dict[Question, Answer | None] = field(default_factory=dict)  # None: the query failed
+    _last_endpoints: dict[Target, Endpoint] = field(default_factory=dict)  # by target, from the last round
 
     @property
     def question(self) -> Question:
-        """What is asked first."""
+        """The query that starts a round."""
         return Question(self.name, SRV)
 
     def begin(self) -> Question:
-        """A round begins."""
-        self.due_at, self.ending = None, False
-        self._targets, self._asked, self._found = (), set(), {}
+        """Start a round and return its first query."""
+        self.due_at, self.finishing = None, False
+        self._targets, self._pending, self._address_answers = (), set(), {}
         return self.question
 
-    def addresses(self, answer: Answer) -> list[Question]:
-        """The addresses that are needed for these targets."""
-        kinds = (A, AAAA) if self.ipv6 else (A,)
+    def address_questions(self, answer: Answer) -> list[Question]:
+        """Return the address queries that the targets need."""
+        rdtypes = (A, AAAA) if self.ipv6 else (A,)
         hosts = dict.fromkeys(target.host for target in answer.targets if target.host != ".")
-        return [Question(host, kind) for host in hosts for kind in kinds]
+        return [Question(host, rdtype) for host in hosts for rdtype in rdtypes]
 
-    def heard(self, now: datetime, answer: Answer) -> list[Question]:
-        """The records of the name; returns the addresses that did not come along."""
+    def record_answer(self, now: datetime, answer: Answer) -> list[Question]:
+        """Take the SRV records; return the queries for addresses not in the additional section."""
         self._targets = tuple(target for target in answer.targets if target.host != ".")
         self._ttl = self.limits.lifetime(answer.ttl)
-        wanted = self.addresses(answer)
+        questions = self.address_questions(answer)
         extra = answer.extra
-        self._found = {question: extra[question] for question in wanted if question in extra}
-        missing = [question for question in wanted if question not in extra]
-        self._asked = set(missing)
+        self._address_answers = {question: extra[question] for question in questions if question in extra}
+        missing = [question for question in questions if question not in extra]
+        self._pending = set(missing)
         return missing
 
-    def address(self, question: Question, answer: Answer | None) -> None:
-        """An address came, or None where it could not be learnt."""
-        if question in self._asked:
-            self._asked.discard(question)
-            self._found[question] = answer
+    def record_address(self, question: Question, answer: Answer | None) -> None:
+        """Take the answer to an address query, None if it failed."""
+        if question in self._pending:
+            self._pending.discard(question)
+            self._address_answers[question] = answer
 
     @property
     def size(self) -> int:
-        """How many targets the name has."""
+        """The number of targets."""
         return len(self._targets)
 
     @property
     def complete(self) -> bool:
-        """Whether nothing is out any more."""
-        return self.due_at is None and not self._asked
+        """Whether no answer is outstanding."""
+        return self.due_at is None and not self._pending
 
-    def ends(self, now: datetime) -> Generator[None, None, LookupResult]:
-        """All is there, or as far as it could be learnt: what the name says. Yields after each slice."""
+    def finish(self, now: datetime) -> Generator[None, None, LookupResult]:
+        """Build the result from the answers received. Yields after each slice."""
         claims: list[Claim] = []
-        last: dict[Target, Endpoint] = {}
+        endpoints: dict[Target, Endpoint] = {}
         lifetimes = [self._ttl]
-        for done, target in enumerate(self._targets, 1):
-            if done % SLICE == 0:
+        for index, target in enumerate(self._targets, 1):
+            if index % SLICE == 0:
                 yield
-            host, unknown = self._host(target, lifetimes)
-            if host is None and unknown and target in self._last:
-                # Its address could not be learnt: that is no word against the server.
-                host = self._last[target][0]
+            address, unknown = self._select_address(target, lifetimes)
+            if address is None and unknown and target in self._last_endpoints:
+                # A failed address query is not a reason to remove the server.
+                address = self._last_endpoints[target][0]
                 COUNTERS.add("srv.addresses_kept")
                 lifetimes.append(self.retry.first)
-            if host is None:
+            if address is None:
                 COUNTERS.add("srv.targets_without_address")
                 continue
-            last[target] = (host, target.port)
-            claims.append(self._claim(target, host))
-        self._last, self.failures = last, 0
+            endpoints[target] = (address, target.port)
+            claims.append(self._claim(target, address))
+        self._last_endpoints, self.failures = endpoints, 0
         fresh_for = max(min(lifetimes), self.limits.floor)
-        self.due_at = now + fresh_for * AHEAD * (1 - JITTER * self.rng.random())
+        self.due_at = now + fresh_for * REFRESH_FRACTION * (1 - REFRESH_JITTER * self.rng.random())
         return LookupResult(tuple(claims), fresh_for)
 
-    def failed(self, now: datetime, why: str) -> RoundFailed:
-        """The name's records could not be learnt."""
+    def round_failed(self, now: datetime, why: str) -> RoundFailed:
+        """Record that the SRV query failed, and schedule the next round."""
         self.failures += 1
         self.due_at = now + self.retry.after(self.failures, self.rng)
-        self._asked = set()
+        self._pending = set()
         return RoundFailed(why)
 
-    def _host(self, target: Target, lifetimes: list[timedelta]) -> tuple[str | None, bool]:
-        """The target's address, and whether one may be there that could not be learnt.
+    def _select_address(self, target: Target, lifetimes: list[timedelta]) -> tuple[str | None, bool]:
+        """Return the target's address, and whether it may have one whose query failed.
 
-        One address a target: an IPv4 one where there is any, the lowest. A host with two is one machine, and
-        taken as two servers it would get twice its share.
+        Only one address per target is used: the lowest IPv4 address, if any. A host with two is one machine,
+        and as two servers it would get twice its share.
         """
         unknown = False
-        for kind in (A, AAAA) if self.ipv6 else (A,):
-            answer = self._found.get(Question(target.host, kind))
+        for rdtype in (A, AAAA) if self.ipv6 else (A,):
+            answer = self._address_answers.get(Question(target.host, rdtype))
             if answer is None:
                 unknown = True
-                if kind is A and target in self._last and ":" not in self._last[target][0]:
-                    return None, True  # it was reached over IPv4: it does not move for want of an answer
+                if (
+                    rdtype is A
+                    and target in self._last_endpoints
+                    and ":" not in self._last_endpoints[target][0]
+                ):
+                    return None, True  # in use over IPv4: a failed query must not move it to IPv6
             elif answer.addresses:
                 lifetimes.append(self.limits.lifetime(answer.ttl))
                 return answer.addresses[0], False
--- a/reedmount/dns/update.py
+++ b/reedmount/dns/update.py
@@ -1,4 +1,4 @@
-"""Dynamic updates of a zone (RFC 2136): prerequisites, the update itself, the serial and the answers."""
+"""Dynamic updates of a zone (RFC 2136): prerequisites, update, serial and responses."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class UpdateError(ValueError):
-    """An update that is refused, with its rcode."""
+    """An update that is rejected with this rcode."""
 
-    def __init__(self, rcode: dns.rcode.Rcode, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, rcode: dns.rcode.Rcode, reason: str) -> None:
+        super().__init__(reason)
         self.rcode = rcode
 
 
 @dataclass(slots=True)
 class Policy:
-    """Who may update: these sources, and with these keys where there are any."""
+    """Who may send updates: the source addresses and, if any are given, the TSIG keys."""
 
     sources: frozenset[str]
     keys: dict[dns.name.Name, dns.tsig.Key] = field(default_factory=dict)
 
 
 class Master:
-    """The primary of one zone."""
+    """The primary master of one zone."""
 
     def __init__(
         self, zone: dns.zone.Zone, policy: Policy, on_change: Callable[[dns.zone.Zone], None]
@@ -56,110 +56,110 @@
         self._policy, self._on_change = policy, on_change
 
     def reload(self, zone: dns.zone.Zone, policy: Policy) -> None:
-        """Another zone file and policy have been read."""
+        """Apply a reloaded zone and policy."""
         if zone.origin is not None:
             self.zone, self._origin, self._policy = zone, zone.origin, policy
 
     def answer(self, wire: bytes, source: str) -> bytes | None:
-        """Take a message and answer it; what is no request at all gets no answer."""
+        """Process a message and return the response, None for a message that is not a request."""
         COUNTERS.add("dns.in")
         try:
             message = dns.message.from_wire(wire, keyring=self._policy.keys or None)
         except (dns.message.UnknownTSIGKey, dns.tsig.BadSignature, dns.tsig.BadTime, dns.tsig.PeerError):
-            return self._plain(wire, dns.rcode.NOTAUTH)
+            return self._error_reply(wire, dns.rcode.NOTAUTH)
         except (dns.exception.DNSException, ValueError, IndexError):
-            return self._plain(wire, dns.rcode.FORMERR)
+            return self._error_reply(wire, dns.rcode.FORMERR)
         if message.flags & dns.flags.QR:
             COUNTERS.add("dns.dropped")
             return None
-        rcode = self._take(message, source)
+        rcode = self._process(message, source)
         COUNTERS.add(f"dns.{dns.rcode.to_text(rcode)}")
         reply = dns.message.make_response(message)
         reply.set_rcode(rcode)
         return reply.to_wire()
 
-    def _plain(self, wire: bytes, rcode: dns.rcode.Rcode) -> bytes | None:
-        """The answer to what cannot be read: its id, opcode and the rcode."""
+    def _error_reply(self, wire: bytes, rcode: dns.rcode.Rcode) -> bytes | None:
+        """Return the response to an unreadable message: its id, its opcode and the rcode."""
         if len(wire) < 12 or wire[2] & 0x80:
             COUNTERS.add("dns.dropped")
             return None
         COUNTERS.add(f"dns.{dns.rcode.to_text(rcode)}")
         return wire[:2] + bytes([0x80 | wire[2] & 0x78, rcode]) + bytes(8)
 
-    def _take(self, message: dns.message.Message, source: str) -> dns.rcode.Rcode:
+    def _process(self, message: dns.message.Message, source: str) -> dns.rcode.Rcode:
         try:
             if not isinstance(message, dns.update.UpdateMessage):
                 raise UpdateError(dns.rcode.NOTIMP, "not an update")
-            self._may(message, source)
-            changed = self._changed(message)
+            self._check_permission(message, source)
+            updated = self._updated_zone(message)
         except UpdateError as error:
             return error.rcode
-        if changed is not None:
-            self.zone = changed
-            self._on_change(changed)
+        if updated is not None:
+            self.zone = updated
+            self._on_change(updated)
         return dns.rcode.NOERROR
 
-    def _may(self, message: dns.update.UpdateMessage, source: str) -> None:
+    def _check_permission(self, message: dns.update.UpdateMessage, source: str) -> None:
         zone = message.zone
         if len(zone) != 1 or zone[0].rdtype != dns.rdatatype.SOA:
-            raise UpdateError(dns.rcode.FORMERR, "the zone section names no one zone")
+            raise UpdateError(dns.rcode.FORMERR, "the zone section does not name exactly one zone")
         if zone[0].name != self._origin or zone[0].rdclass != self.zone.rdclass:
             raise UpdateError(dns.rcode.NOTAUTH, "another zone")
         if source not in self._policy.sources or self._policy.keys and not message.had_tsig:
             raise UpdateError(dns.rcode.REFUSED, "not allowed")
 
-    def _changed(self, message: dns.update.UpdateMessage) -> dns.zone.Zone | None:
-        """The zone as the update leaves it, None where it changes nothing. The zone itself stays as it is."""
-        self._require(message.prerequisite)
+    def _updated_zone(self, message: dns.update.UpdateMessage) -> dns.zone.Zone | None:
+        """Return an updated copy of the zone, None if nothing changes."""
+        self._check_prerequisites(message.prerequisite)
         self._prescan(message.update)
-        changed = self._copy()
-        before = changed.to_text(sorted=True)
-        serial = self._soa(changed).serial
+        updated = self._copy()
+        before = updated.to_text(sorted=True)
+        serial = self._soa(updated).serial
         for rrset in message.update:
-            self._apply(changed, rrset)
-        if changed.to_text(sorted=True) == before:
+            self._apply(updated, rrset)
+        if updated.to_text(sorted=True) == before:
             return None
-        if self._soa(changed).serial == serial:
-            self._count_up(changed, serial)
-        return changed
+        if self._soa(updated).serial == serial:
+            self._increment_serial(updated, serial)
+        return updated
 
     def _copy(self) -> dns.zone.Zone:
-        made = dns.zone.Zone(self._origin, self.zone.rdclass, relativize=False)
+        zone_copy = dns.zone.Zone(self._origin, self.zone.rdclass, relativize=False)
         for name, rdataset in self.zone.iterate_rdatasets():
             copied = dns.rdataset.Rdataset(rdataset.rdclass, rdataset.rdtype, rdataset.covers)
             for record in rdataset:
                 copied.add(record, rdataset.ttl)
-            made.replace_rdataset(name, copied)
-        return made
+            zone_copy.replace_rdataset(name, copied)
+        return zone_copy
 
     # --- prerequisites (3.2) ---
 
-    def _require(self, rrsets: list[dns.rrset.RRset]) -> None:
-        exact: dict[tuple[dns.name.Name, dns.rdatatype.RdataType], set[dns.rdata.Rdata]] = {}
+    def _check_prerequisites(self, rrsets: list[dns.rrset.RRset]) -> None:
+        required: dict[tuple[dns.name.Name, dns.rdatatype.RdataType], set[dns.rdata.Rdata]] = {}
         for rrset in rrsets:
-            self._inside(rrset.name)
+            self._check_in_zone(rrset.name)
             if rrset.ttl != 0:
                 raise UpdateError(dns.rcode.FORMERR, "a prerequisite with a TTL")
             any_type = rrset.rdtype == dns.rdatatype.ANY
-            held = bool(self._held(rrset.name)) if any_type else self._rdataset(rrset) is not None
-            if rrset.deleting == ANY and not held:
+            exists = bool(self._rdatasets_of(rrset.name)) if any_type else self._rdataset(rrset) is not None
+            if rrset.deleting == ANY and not exists:
                 raise UpdateError(dns.rcode.NXDOMAIN if any_type else dns.rcode.NXRRSET, "not there")
-            if rrset.deleting == NONE and held:
+            if rrset.deleting == NONE and exists:
                 raise UpdateError(dns.rcode.YXDOMAIN if any_type else dns.rcode.YXRRSET, "there")
             if rrset.deleting is None:
                 if rrset.rdclass != self.zone.rdclass:
                     raise UpdateError(dns.rcode.FORMERR, "another class")
-                exact.setdefault((rrset.name, rrset.rdtype), set()).update(rrset)
-        for (name, rdtype), wanted in exact.items():
-            there = self.zone.get_rdataset(name, rdtype)
-            if set(there or ()) != wanted:
+                required.setdefault((rrset.name, rrset.rdtype), set()).update(rrset)
+        for (name, rdtype), records in required.items():
+            existing = self.zone.get_rdataset(name, rdtype)
+            if set(existing or ()) != records:
                 raise UpdateError(dns.rcode.NXRRSET, "other records")
 
     # --- the update (3.4) ---
 
     def _prescan(self, rrsets: list[dns.rrset.RRset]) -> None:
         for rrset in rrsets:
-            self._inside(rrset.name)
+            self._check_in_zone(rrset.name)
             kind = dns.rdatatype.to_text(rrset.rdtype)
             if rrset.deleting is None:
                 if rrset.rdclass != self.zone.rdclass or kind in META:
@@ -169,7 +169,7 @@
 
     def _apply(self, zone: dns.zone.Zone, rrset: dns.rrset.RRset) -> None:
         apex = rrset.name == self._origin
-        guarded = apex and rrset.rdtype in (dns.rdatatype.SOA, dns.rdatatype.NS)
+        protected = apex and rrset.rdtype in (dns.rdatatype.SOA, dns.rdatatype.NS)
         if rrset.deleting is None:
             self._add(zone, rrset)
         elif rrset.deleting == ANY and rrset.rdtype == dns.rdatatype.ANY:
@@ -177,51 +177,51 @@
                 if not apex or rdataset.rdtype not in (dns.rdatatype.SOA, dns.rdatatype.NS):
                     zone.delete_rdataset(rrset.name, rdataset.rdtype, rdataset.covers)
         elif rrset.deleting == ANY:
-            if not guarded:
+            if not protected:
                 zone.delete_rdataset(rrset.name, rrset.rdtype)
         else:
-            self._discard(zone, rrset, guarded)
+            self._delete_records(zone, rrset, protected)
 
     @staticmethod
-    def _discard(zone: dns.zone.Zone, rrset: dns.rrset.RRset, guarded: bool) -> None:
-        """Single records; the SOA and the last NS of the zone stay."""
-        there = zone.get_rdataset(rrset.name, rrset.rdtype)
-        if there is None or (guarded and rrset.rdtype == dns.rdatatype.SOA):
+    def _delete_records(zone: dns.zone.Zone, rrset: dns.rrset.RRset, protected: bool) -> None:
+        """Delete single records, except the SOA and the last NS of the zone."""
+        existing = zone.get_rdataset(rrset.name, rrset.rdtype)
+        if existing is None or (protected and rrset.rdtype == dns.rdatatype.SOA):
             return
-        kept = [record for record in there if record not in rrset]
-        if guarded and not kept:
+        remaining = [record for record in existing if record not in rrset]
+        if protected and not remaining:
             return
         zone.delete_rdataset(rrset.name, rrset.rdtype)
-        if kept:
-            zone.replace_rdataset(rrset.name, dns.rdataset.from_rdata_list(there.ttl, kept))
+        if remaining:
+            zone.replace_rdataset(rrset.name, dns.rdataset.from_rdata_list(existing.ttl, remaining))
 
     def _add(self, zone: dns.zone.Zone, rrset: dns.rrset.RRset) -> None:
-        held = {rdataset.rdtype for rdataset in zone.get_node(rrset.name) or ()}
-        alias = dns.rdatatype.CNAME
-        if (rrset.rdtype == alias and held - {alias}) or (rrset.rdtype != alias and alias in held):
-            return  # 3.4.2.2: passed over
+        present = {rdataset.rdtype for rdataset in zone.get_node(rrset.name) or ()}
+        cname = dns.rdatatype.CNAME
+        if (rrset.rdtype == cname and present - {cname}) or (rrset.rdtype != cname and cname in present):
+            return  # 3.4.2.2: ignored
         if rrset.rdtype == dns.rdatatype.SOA:
             newest = list(rrset)[-1]
             if not isinstance(newest, dns.rdtypes.ANY.SOA.SOA):
                 return
-            ahead = (newest.serial - self._soa(zone).serial) % 2**32
-            if rrset.name != self._origin or not 0 < ahead < 2**31:
+            serial_distance = (newest.serial - self._soa(zone).serial) % 2**32
+            if rrset.name != self._origin or not 0 < serial_distance < 2**31:
                 return
-        there = zone.get_rdataset(rrset.name, rrset.rdtype)
-        single = rrset.rdtype in (alias, dns.rdatatype.SOA)
-        fresh = dns.rdataset.Rdataset(rrset.rdclass, rrset.rdtype)
-        fresh.update_ttl(rrset.ttl)
-        for record in [*([] if single or there is None else there), *rrset]:
-            fresh.add(record, rrset.ttl)
-        zone.replace_rdataset(rrset.name, fresh)
+        existing = zone.get_rdataset(rrset.name, rrset.rdtype)
+        is_singleton = rrset.rdtype in (cname, dns.rdatatype.SOA)
+        replacement = dns.rdataset.Rdataset(rrset.rdclass, rrset.rdtype)
+        replacement.update_ttl(rrset.ttl)
+        for record in [*([] if is_singleton or existing is None else existing), *rrset]:
+            replacement.add(record, rrset.ttl)
+        zone.replace_rdataset(rrset.name, replacement)
 
     # --- the zone ---
 
-    def _inside(self, name: dns.name.Name) -> None:
+    def _check_in_zone(self, name: dns.name.Name) -> None:
         if not name.is_subdomain(self._origin):
             raise UpdateError(dns.rcode.NOTZONE, f"{name} is outside the zone")
 
-    def _held(self, name: dns.name.Name) -> list[dns.rdataset.Rdataset]:
+    def _rdatasets_of(self, name: dns.name.Name) -> list[dns.rdataset.Rdataset]:
         return list(self.zone.get_node(name) or ())
 
     def _rdataset(self, rrset: dns.rrset.RRset) -> dns.rdataset.Rdataset | None:
@@ -234,9 +234,9 @@
             raise UpdateError(dns.rcode.SERVFAIL, "the zone has lost its SOA")
         return soa
 
-    def _count_up(self, zone: dns.zone.Zone, serial: int) -> None:
-        """The serial goes up with each change (3.6); zero is passed over."""
+    def _increment_serial(self, zone: dns.zone.Zone, serial: int) -> None:
+        """Increment the serial (3.6), skipping zero."""
         soa = zone.get_rdataset(self._origin, dns.rdatatype.SOA)
         if soa is not None:
-            counted = soa[0].replace(serial=(serial + 1) % 2**32 or 1)
-            zone.replace_rdataset(self._origin, dns.rdataset.from_rdata(soa.ttl, counted))
+            incremented = soa[0].replace(serial=(serial + 1) % 2**32 or 1)
+            zone.replace_rdataset(self._origin, dns.rdataset.from_rdata(soa.ttl, incremented))
--- a/reedmount/dns/zone.py
+++ b/reedmount/dns/zone.py
@@ -1,4 +1,4 @@
-"""Zone files (RFC 1035) and what they say of the call servers: SRV and A records, read as RFC 3263 has it."""
+"""Zone files (RFC 1035) and the call servers in them: SRV and A records, used as in RFC 3263."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class ZoneError(ValueError):
-    """A zone that cannot be used; the text names the file, and the line where it has one."""
+    """A zone that cannot be used; the message names the file and, if known, the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneServer:
-    """A call server that the zone names."""
+    """A call server named by the zone."""
 
     server: str
     address: tuple[str, int]
@@ -34,7 +34,7 @@
 
 
 def load_zone(path: Path, origin: str | None) -> dns.zone.Zone:
-    """Read a zone file; an error tells where it is."""
+    """Read a zone file. Raises ZoneError with the file and line of an error."""
     try:
         text = path.read_text(encoding="utf-8")
         zone = dns.zone.from_text(text, origin=origin, relativize=False, check_origin=True)
@@ -43,8 +43,8 @@
     except UnicodeDecodeError:
         raise ZoneError(f"{path}: not UTF-8 text") from None
     except dns.exception.SyntaxError as error:
-        line, why = _where(text, origin, error)
-        raise ZoneError(f"{path}:{line}: {why}") from None
+        line, reason = _locate_error(text, origin, error)
+        raise ZoneError(f"{path}:{line}: {reason}") from None
     except dns.zone.NoSOA:
         raise ZoneError(f"{path}:1: the zone has no SOA record") from None
     except dns.zone.NoNS:
@@ -56,38 +56,38 @@
     return zone
 
 
-def _where(text: str, origin: str | None, error: dns.exception.SyntaxError) -> tuple[int, str]:
-    """The line of a fault. The library names the next one where it had read the line to its end."""
-    _, number, why = (str(error).split(":", 2) + ["", ""])[:3]
+def _locate_error(text: str, origin: str | None, error: dns.exception.SyntaxError) -> tuple[int, str]:
+    """Return line and text of an error. The library reports the next line if it has read to the end."""
+    _, number, reason = (str(error).split(":", 2) + ["", ""])[:3]
     line = int(number) if number.isdecimal() else 1
     lines = text.splitlines(keepends=True)
     while line > 1:
         try:
-            part = "".join(lines[: line - 1])
-            dns.zone.from_text(part, origin=origin, relativize=False, check_origin=False)
+            prefix = "".join(lines[: line - 1])
+            dns.zone.from_text(prefix, origin=origin, relativize=False, check_origin=False)
             break
         except dns.exception.DNSException as earlier:
-            if not str(earlier).endswith(why):
+            if not str(earlier).endswith(reason):
                 break
             line -= 1
-    return line, why.strip()
+    return line, reason.strip()
 
 
 def save_zone(zone: dns.zone.Zone, path: Path) -> None:
-    """Write the zone back, whole or not at all."""
-    beside = path.with_name(path.name + ".new")
-    beside.write_text(zone.to_text(sorted=True, relativize=False), encoding="utf-8")
-    os.replace(beside, path)
+    """Write the zone back atomically."""
+    temporary = path.with_name(path.name + ".new")
+    temporary.write_text(zone.to_text(sorted=True, relativize=False), encoding="utf-8")
+    os.replace(temporary, path)
 
 
 def zone_servers(zone: dns.zone.Zone, transports: Sequence[str]) -> dict[str, ZoneServer]:
-    """The call servers by name. One that offers several transports is reached over the first of ours."""
+    """Return the call servers by name. One with several transports is listed with the first of ours."""
     found: dict[str, ZoneServer] = {}
     for transport in transports:
         owner = dns.name.from_text(f"_sip._{transport}", zone.origin)
         for record in zone.get_rdataset(owner, dns.rdatatype.SRV) or ():
             if record.target == dns.name.root:
-                continue  # RFC 2782: decidedly not offered here
+                continue  # RFC 2782: the service is not available
             addresses = zone.get_rdataset(record.target, dns.rdatatype.A)
             if not addresses:
                 continue
--- a/reedmount/sources/srv.py
+++ b/reedmount/sources/srv.py
@@ -1,4 +1,4 @@
-"""SRV names as a source: the watches, their questions, and what they hear."""
+"""SRV names as a source: schedules the lookup of each name and passes its results to the pool."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from reedmount.dns.answers import Answer
 from reedmount.dns.query import LookupFailed
 from reedmount.dns.reader import Question
-from reedmount.dns.resolver import BETWEEN_SLICES, Resolver, ResolverSettings
+from reedmount.dns.resolver import SLICE_INTERVAL, Resolver, ResolverSettings
 from reedmount.dns.srv_lookup import LookupResult, RetryPolicy, SrvLookup
 from reedmount.net.loop import Loop
 from reedmount.pool.claims import Claim
 
 NAME = "srv"
-ASKED_A_TURN = 64
+MAX_QUERIES_PER_TURN = 64
 
 
 @dataclass(frozen=True, slots=True)
 class SrvSettings:
-    """What the operator's file says in ``[srv]``."""
+    """Settings of the table ``[srv]`` of the operator's file."""
 
-    names: tuple[tuple[str, str], ...]  # SRV name and the transport it stands for, the preferred first
+    names: tuple[tuple[str, str], ...]  # SRV name and its transport, the preferred first
     resolver: ResolverSettings
-    keep_for: timedelta = timedelta(days=1)  # beyond the lifetime, RFC 8767 section 5
+    keep_for: timedelta = timedelta(days=1)  # as stale, beyond the lifetime (RFC 8767, section 5)
     retry: RetryPolicy = field(default_factory=RetryPolicy)
     ipv6: bool = False
 
 
 class ClaimSink(Protocol):
-    """Who is told what the names say: the pool of call servers, or whoever looks for members."""
+    """Receives the results of lookups: the pool of call servers, or the discovery of members."""
 
     @property
     def fallback_description(self) -> str:
-        """What there is while the names cannot be learnt, for a line to the staff."""
+        """What is in use while lookups fail, for the operator's log."""
 
     def full_update(
         self,
@@ -48,64 +48,64 @@
         fresh_for: timedelta | None = None,
         keep_for: timedelta | None = None,
     ) -> None:
-        """All that a name says."""
+        """Take the complete result of a lookup."""
 
-    def source_failed(self, source: str, why: str, part: str = "") -> None:
-        """A name could not be learnt."""
+    def source_failed(self, source: str, reason: str, part: str = "") -> None:
+        """Record that a lookup failed."""
 
     def drop(self, source: str, part: str = "") -> None:
-        """A name is not asked for any more."""
+        """Drop a name that is no longer looked up."""
 
 
 class SrvSource:
-    """One watch a name; each is a part of the source."""
+    """Looks up each SRV name periodically; each name is a part of the source."""
 
     def __init__(self, loop: Loop, host: ClaimSink, settings: SrvSettings, rng: random.Random) -> None:
         self._loop, self._host, self.settings, self._rng = loop, host, settings, rng
         self.resolver = Resolver(loop, settings.resolver, rng)
-        self._watches: dict[str, SrvLookup] = {}
+        self._lookups: dict[str, SrvLookup] = {}
         self._timers: dict[str, Timer] = {}
-        self._silent: set[str] = set()  # names that have failed at the start, or since their last answer
+        self._unanswered: set[str] = set()  # names without an answer since a failure
 
     def start(self) -> None:
-        """Ask for the first time."""
+        """Start the first lookup of each name."""
         for name, transport in self.settings.names:
-            self._open(name, transport)
+            self._add_lookup(name, transport)
 
     def apply_settings(self, settings: SrvSettings) -> None:
-        """Go by other settings: names that go are no part any more, new ones are asked for."""
+        """Apply changed settings: drop names that were removed and look up new ones."""
         old, self.settings = dict(self.settings.names), settings
         self.resolver.apply_settings(settings.resolver)
         wanted = dict(settings.names)
         for name, transport in old.items():
             if wanted.get(name) != transport:
-                self._close(name)
+                self._remove_lookup(name)
         for name, transport in wanted.items():
-            watch = self._watches.get(name)
-            if watch is None:
-                self._open(name, transport)
+            lookup = self._lookups.get(name)
+            if lookup is None:
+                self._add_lookup(name, transport)
             else:
-                watch.limits, watch.retry = settings.resolver.limits, settings.retry
-                watch.ipv6 = settings.ipv6
-                if watch.due_at is not None:
-                    self._set(name, timedelta(0))  # ask again with what holds now
+                lookup.limits, lookup.retry = settings.resolver.limits, settings.retry
+                lookup.ipv6 = settings.ipv6
+                if lookup.due_at is not None:
+                    self._schedule(name, timedelta(0))  # look up again with the new settings
 
     def close(self) -> None:
-        """Ask nothing more; what was said stays."""
+        """Stop all lookups; claims already passed on stay."""
         for timer in self._timers.values():
             timer.cancel()
         self.resolver.close()
 
-    def _open(self, name: str, transport: str) -> None:
+    def _add_lookup(self, name: str, transport: str) -> None:
         settings = self.settings
-        self._watches[name] = SrvLookup(
+        self._lookups[name] = SrvLookup(
             name, transport, settings.resolver.limits, settings.retry, settings.ipv6, self._rng
         )
-        self._ask(name)
+        self._start_round(name)
 
-    def _close(self, name: str) -> None:
-        del self._watches[name]
-        self._silent.discard(name)
+    def _remove_lookup(self, name: str) -> None:
+        del self._lookups[name]
+        self._unanswered.discard(name)
         timer = self._timers.pop(name, None)
         if timer is not None:
             timer.cancel()
@@ -113,94 +113,99 @@
 
     # --- rounds ---
 
-    def _set(self, name: str, span: timedelta) -> None:
+    def _schedule(self, name: str, span: timedelta) -> None:
         timer = self._timers.get(name)
         if timer is not None:
             timer.cancel()
-        self._timers[name] = self._loop.call_later(span, lambda: self._ask(name))
+        self._timers[name] = self._loop.call_later(span, lambda: self._start_round(name))
 
-    def _ask(self, name: str) -> None:
-        watch = self._watches[name]
+    def _start_round(self, name: str) -> None:
+        lookup = self._lookups[name]
         COUNTERS.add("srv.rounds")
-        self.resolver.resolve(watch.begin(), self._hearing(watch, self._heard), fresh=True)
+        self.resolver.resolve(lookup.begin(), self._if_current(lookup, self._handle_answer), fresh=True)
 
-    def _hearing(
-        self, watch: SrvLookup, hear: Callable[[SrvLookup, Answer | LookupFailed], None]
+    def _if_current(
+        self, lookup: SrvLookup, handler: Callable[[SrvLookup, Answer | LookupFailed], None]
     ) -> Callable[[Answer | LookupFailed], None]:
-        """Hear an answer only as long as the watch is still wanted."""
+        """Wrap a handler so that it gets an answer only while the lookup is still in use."""
 
-        def heard(answer: Answer | LookupFailed) -> None:
-            if self._watches.get(watch.name) is watch:
-                hear(watch, answer)
+        def deliver(answer: Answer | LookupFailed) -> None:
+            if self._lookups.get(lookup.name) is lookup:
+                handler(lookup, answer)
 
-        return heard
+        return deliver
 
-    def _heard(self, watch: SrvLookup, answer: Answer | LookupFailed) -> None:
+    def _handle_answer(self, lookup: SrvLookup, answer: Answer | LookupFailed) -> None:
         now = self._loop.clock.now()
         if isinstance(answer, LookupFailed):
-            failed = watch.failed(now, answer.why)
-            self._host.source_failed(NAME, failed.why, watch.name)
-            if watch.name not in self._silent:
-                self._silent.add(watch.name)
+            round_failed = lookup.round_failed(now, answer.why)
+            self._host.source_failed(NAME, round_failed.why, lookup.name)
+            if lookup.name not in self._unanswered:
+                self._unanswered.add(lookup.name)
                 log(
-                    f"{watch.name}: {failed.why}; going on with {self._host.fallback_description}",
+                    f"{lookup.name}: {round_failed.why}; going on with {self._host.fallback_description}",
                     "srv.silent",
                 )
-            self._again(watch)
+            self._schedule_next_round(lookup)
             return
-        if watch.name in self._silent:
-            self._silent.discard(watch.name)
-            log(f"{watch.name}: answered again", "srv.answered_again")
-        wanted = watch.heard(now, answer)
-        if len(wanted) < ASKED_A_TURN:
-            self._ask_some(watch, wanted, 0)
+        if lookup.name in self._unanswered:
+            self._unanswered.discard(lookup.name)
+            log(f"{lookup.name}: answered again", "srv.answered_again")
+        questions = lookup.record_answer(now, answer)
+        if len(questions) < MAX_QUERIES_PER_TURN:
+            self._resolve_addresses(lookup, questions, 0)
         else:
-            self._loop.call_later(BETWEEN_SLICES, lambda: self._ask_some(watch, wanted, 0))
+            self._loop.call_later(SLICE_INTERVAL, lambda: self._resolve_addresses(lookup, questions, 0))
 
-    def _ask_some(self, watch: SrvLookup, wanted: Sequence[Question], begin: int) -> None:
-        """Ask for addresses, some in each turn; those that are still known come from the cache."""
-        if self._watches.get(watch.name) is not watch:
+    def _resolve_addresses(self, lookup: SrvLookup, questions: Sequence[Question], begin: int) -> None:
+        """Resolve target addresses, some in each turn, from the cache where possible."""
+        if self._lookups.get(lookup.name) is not lookup:
             return
         now = self._loop.clock.now()
-        for question in wanted[begin : begin + ASKED_A_TURN]:
-            kept = self.resolver.cache.get(now, question)
-            if kept is not None:
-                watch.address(question, kept.answer)
+        for question in questions[begin : begin + MAX_QUERIES_PER_TURN]:
+            cached = self.resolver.cache.get(now, question)
+            if cached is not None:
+                lookup.record_address(question, cached.answer)
             else:
-                self.resolver.resolve(question, self._address(watch, question))
-        if begin + ASKED_A_TURN < len(wanted):
-            self._loop.call_later(BETWEEN_SLICES, lambda: self._ask_some(watch, wanted, begin + ASKED_A_TURN))
-        self._maybe_end(watch)
-
-    def _address(self, watch: SrvLookup, question: Question) -> Callable[[Answer | LookupFailed], None]:
-        def heard(watch: SrvLookup, answer: Answer | LookupFailed) -> None:
-            watch.address(question, answer if isinstance(answer, Answer) else None)
-            self._maybe_end(watch)
-
-        return self._hearing(watch, heard)
-
-    def _maybe_end(self, watch: SrvLookup) -> None:
-        if watch.complete and not watch.ending:
-            watch.ending = True
-            ending = watch.ends(self._loop.clock.now())
-            if watch.size < ASKED_A_TURN:
-                self._end(watch, ending)
+                self.resolver.resolve(question, self._address_handler(lookup, question))
+        if begin + MAX_QUERIES_PER_TURN < len(questions):
+            self._loop.call_later(
+                SLICE_INTERVAL,
+                lambda: self._resolve_addresses(lookup, questions, begin + MAX_QUERIES_PER_TURN),
+            )
+        self._finish_if_complete(lookup)
+
+    def _address_handler(
+        self, lookup: SrvLookup, question: Question
+    ) -> Callable[[Answer | LookupFailed], None]:
+        def handle_address(lookup: SrvLookup, answer: Answer | LookupFailed) -> None:
+            lookup.record_address(question, answer if isinstance(answer, Answer) else None)
+            self._finish_if_complete(lookup)
+
+        return self._if_current(lookup, handle_address)
+
+    def _finish_if_complete(self, lookup: SrvLookup) -> None:
+        if lookup.complete and not lookup.finishing:
+            lookup.finishing = True
+            finishing = lookup.finish(self._loop.clock.now())
+            if lookup.size < MAX_QUERIES_PER_TURN:
+                self._finish(lookup, finishing)
             else:
-                self._loop.call_later(BETWEEN_SLICES, lambda: self._end(watch, ending))
+                self._loop.call_later(SLICE_INTERVAL, lambda: self._finish(lookup, finishing))
 
-    def _end(self, watch: SrvLookup, ending: Generator[None, None, LookupResult]) -> None:
-        """Put together what the name says, a slice in each turn."""
-        if self._watches.get(watch.name) is not watch:
+    def _finish(self, lookup: SrvLookup, finishing: Generator[None, None, LookupResult]) -> None:
+        """Build the result of the lookup, one slice per turn, and pass it on."""
+        if self._lookups.get(lookup.name) is not lookup:
             return
         try:
-            next(ending)
-        except StopIteration as end:
-            heard = end.value
-            self._host.full_update(NAME, heard.claims, watch.name, heard.fresh_for, self.settings.keep_for)
-            self._again(watch)
+            next(finishing)
+        except StopIteration as stop:
+            result = stop.value
+            self._host.full_update(NAME, result.claims, lookup.name, result.fresh_for, self.settings.keep_for)
+            self._schedule_next_round(lookup)
         else:
-            self._loop.call_later(BETWEEN_SLICES, lambda: self._end(watch, ending))
+            self._loop.call_later(SLICE_INTERVAL, lambda: self._finish(lookup, finishing))
 
-    def _again(self, watch: SrvLookup) -> None:
-        if watch.due_at is not None:
-            self._set(watch.name, max(watch.due_at - self._loop.clock.now(), timedelta(0)))
+    def _schedule_next_round(self, lookup: SrvLookup) -> None:
+        if lookup.due_at is not None:
+            self._schedule(lookup.name, max(lookup.due_at - self._loop.clock.now(), timedelta(0)))
--- a/reedmount/sources/srv_reader.py
+++ b/reedmount/sources/srv_reader.py
@@ -1,4 +1,4 @@
-"""A table of SRV names and the name servers that are asked for them: ``[srv]``, ``[members.srv]``."""
+"""Reads tables of SRV names and their name servers: ``[srv]``, ``[members.srv]``."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def read_srv(table: Table, ipv6_wants: str | None = None) -> SrvSettings:
-    """Read and check it. ``ipv6_wants`` says what is missing for IPv6 addresses to be used, None: nothing.
+    """Read and check the table. ``ipv6_wants`` names what IPv6 needs and lacks, None if nothing.
 
     Raises ConfigError naming the key.
     """
@@ -53,7 +53,7 @@
 
 
 def _srv_name(text: str, path: str) -> tuple[str, str]:
-    """The name, absolute and in lower case, and the transport that its second label stands for."""
+    """Return the name, absolute and in lower case, and the transport of its second label."""
     try:
         name = dns.name.from_text(text).to_text().lower()
     except dns.exception.DNSException as error:
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -1,4 +1,4 @@
-"""Zone files, dynamic updates and the pool that follows them."""
+"""Zone files, dynamic updates, and the pool fed from them."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 
 def master(folder: Path, **policy: object) -> Master:
-    made = Policy(frozenset({"127.0.0.1"}), **policy)  # type: ignore[arg-type]
-    return Master(load_zone(zone_file(folder), ORIGIN), made, lambda _: None)
+    access = Policy(frozenset({"127.0.0.1"}), **policy)  # type: ignore[arg-type]
+    return Master(load_zone(zone_file(folder), ORIGIN), access, lambda _: None)
 
 
-def ask(primary: Master, update: dns.message.Message, source: str = "127.0.0.1") -> str:
+def send(primary: Master, update: dns.message.Message, source: str = "127.0.0.1") -> str:
     reply = primary.answer(update.to_wire(), source)
     assert reply is not None and reply[:2] == update.to_wire()[:2]
     return dns.rcode.to_text(dns.rcode.Rcode(reply[3] & 15))
@@ -70,14 +70,14 @@
         ("", "SOA"),
     ],
 )
-def test_a_bad_zone_names_file_and_line(tmp_path: Path, text: str, fault: str) -> None:
+def test_a_zone_error_names_file_and_line(tmp_path: Path, text: str, fault: str) -> None:
     path = zone_file(tmp_path, text)
     with pytest.raises(ZoneError) as caught:
         load_zone(path, ORIGIN)
     assert fault in str(caught.value) and str(path) in str(caught.value)
 
 
-def test_servers_come_from_srv_and_a_records_by_transport_priority_and_weight(tmp_path: Path) -> None:
+def test_servers_come_from_srv_and_a_records_with_the_preferred_transport(tmp_path: Path) -> None:
     text = ZONE + "_sip._tcp IN SRV 5 3 5070 two\n IN SRV 5 1 {port} one\n IN SRV 9 1 1 lost\n"
     found = zone_servers(load_zone(zone_file(tmp_path, text), ORIGIN), ["tcp", "udp"])
     assert {name: item.transport for name, item in found.items()} == {
@@ -85,20 +85,20 @@
     }  # fmt: skip
 
 
-def test_an_update_adds_and_deletes_and_counts_the_serial_up(tmp_path: Path) -> None:
+def test_an_update_adds_and_deletes_records_and_increments_the_serial(tmp_path: Path) -> None:
     primary = master(tmp_path)
     change = update()
     change.add("_sip._udp", 60, "SRV", "10 1 5071 two")
-    assert ask(primary, change) == "NOERROR" and serial(primary) == 8
+    assert send(primary, change) == "NOERROR" and serial(primary) == 8
     assert len(zone_servers(primary.zone, ["udp"])) == 2
-    assert ask(primary, change) == "NOERROR" and serial(primary) == 8, "nothing changed the second time"
+    assert send(primary, change) == "NOERROR" and serial(primary) == 8, "nothing changed the second time"
     change = update()
     change.delete("_sip._udp", "SRV", "10 1 5070 one")
-    assert ask(primary, change) == "NOERROR" and serial(primary) == 9
+    assert send(primary, change) == "NOERROR" and serial(primary) == 9
     assert list(zone_servers(primary.zone, ["udp"])) == ["two.calls.example:5071"]
 
 
-def test_prerequisites_decide_with_their_own_rcodes(tmp_path: Path) -> None:
+def test_each_unmet_prerequisite_has_its_rcode(tmp_path: Path) -> None:
     primary = master(tmp_path)
     cases = []
     for rcode in ("YXDOMAIN", "NXDOMAIN", "YXRRSET", "NXRRSET", "NXRRSET", "NOERROR"):
@@ -111,24 +111,24 @@
     cases[5][1].present("one", "A", "127.0.0.1")
     for rcode, change in cases:
         change.add("three", 60, "A", "127.0.0.3")
-        assert ask(primary, change) == rcode
+        assert send(primary, change) == rcode
         assert (primary.zone.get_rdataset("three.calls.example.", "A") is not None) == (rcode == "NOERROR")
 
 
-def test_a_bad_update_changes_nothing(tmp_path: Path) -> None:
+def test_a_rejected_update_changes_nothing(tmp_path: Path) -> None:
     primary = master(tmp_path)
     before = primary.zone
     outside = update()
     outside.delete("one")
     outside.add("far.example.", 60, "A", "127.0.0.3")
-    assert ask(primary, outside) == "NOTZONE"
+    assert send(primary, outside) == "NOTZONE"
     other = dns.update.UpdateMessage("other.example.")
     other.add("x", 60, "A", "127.0.0.3")
-    assert ask(primary, other) == "NOTAUTH"
+    assert send(primary, other) == "NOTAUTH"
     change = update()
     change.delete("one")
-    assert ask(primary, change, "127.0.0.2") == "REFUSED"
-    assert ask(primary, dns.message.make_query(ORIGIN, "SOA")) == "NOTIMP"
+    assert send(primary, change, "127.0.0.2") == "REFUSED"
+    assert send(primary, dns.message.make_query(ORIGIN, "SOA")) == "NOTIMP"
     broken = change.to_wire()
     assert primary.answer(broken[:-1], "127.0.0.1") == broken[:2] + b"\xa8\x01" + bytes(8)
     assert primary.answer(b"short", "127.0.0.1") is None
@@ -142,22 +142,22 @@
     change.delete(ORIGIN, "NS", "ns.calls.example.")
     change.delete(ORIGIN, "SOA")
     change.add(ORIGIN, 60, "SOA", "ns operator 3 1 1 1 1")
-    assert ask(primary, change) == "NOERROR" and serial(primary) == 7
+    assert send(primary, change) == "NOERROR" and serial(primary) == 7
     assert primary.zone.get_rdataset(ORIGIN, "NS") is not None
 
 
-def test_with_a_key_only_signed_updates_are_taken(tmp_path: Path) -> None:
+def test_with_a_key_only_signed_updates_are_accepted(tmp_path: Path) -> None:
     ring = dns.tsigkeyring.from_text(SECRET)
     primary = master(tmp_path, keys=ring)
     signed = dns.update.UpdateMessage(ORIGIN, keyring=ring)
     signed.add("three", 60, "A", "127.0.0.3")
-    assert ask(primary, signed) == "NOERROR"
+    assert send(primary, signed) == "NOERROR"
     plain = update()
     plain.delete("three")
-    assert ask(primary, plain) == "REFUSED"
+    assert send(primary, plain) == "REFUSED"
     forged = dns.update.UpdateMessage(ORIGIN, keyring=dns.tsigkeyring.from_text({"operator.": "Zm9yZ2Vk"}))
     forged.delete("three")
-    assert ask(primary, forged) == "NOTAUTH"
+    assert send(primary, forged) == "NOTAUTH"
 
 
 @pytest.mark.parametrize("over_tcp", [False, True])
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -1,4 +1,4 @@
-"""The resolver against a name server that does all that is in its plan of faults."""
+"""The resolver against name servers with scripted faults."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from hypothesis import strategies as st
 
 from reedmount.core.checks import COUNTERS
-from reedmount.dns.answers import Answer, Fault, meaning
+from reedmount.dns.answers import Answer, Fault, interpret
 from reedmount.dns.cache import Cache, CacheLimits
-from reedmount.dns.health import ALONE_REST, BESIDE_REST, JITTER, NameServers
+from reedmount.dns.health import JITTER, MAX_BACKOFF_ALONE, MAX_BACKOFF_WITH_OTHERS, NameServers
 from reedmount.dns.query import LookupFailed, QueryTimeouts
 from reedmount.dns.reader import MAX_RECORDS, Question, ReadError, read_head, read_reply
-from reedmount.dns.resolver import MAX_FLIGHTS, Resolver, ResolverSettings
+from reedmount.dns.resolver import MAX_IN_FLIGHT, Resolver, ResolverSettings
 from standins.nameserver import FAULTS, NameServer
 from standins.world import World
 
@@ -30,7 +30,7 @@
 class Net(World):
     """A resolver with some name servers."""
 
-    def __init__(self, servers: int = 1, **bounds: object) -> None:
+    def __init__(self, servers: int = 1, **limits: object) -> None:
         super().__init__()
         self.servers = [NameServer(seed=number) for number in range(servers)]
         for server in self.servers:
@@ -40,30 +40,30 @@
         self.stands += self.servers
         self.resolver = Resolver(
             self.loop,
-            ResolverSettings(tuple(s.address for s in self.servers), limits=CacheLimits(**bounds)),  # type: ignore[arg-type]
+            ResolverSettings(tuple(s.address for s in self.servers), limits=CacheLimits(**limits)),  # type: ignore[arg-type]
             random.Random(3),
         )
 
-    def plan(self, name: str, **words: float) -> None:
+    def plan(self, name: str, **options: float) -> None:
         for server in self.servers:
-            server.plan(name, **words)  # type: ignore[arg-type]
+            server.plan(name, **options)  # type: ignore[arg-type]
 
-    def ask(self, question: Question = SRV, fresh: bool = False) -> Answer | LookupFailed:
-        got: list[Answer | LookupFailed] = []
-        self.resolver.resolve(question, got.append, fresh)
-        assert self.until(lambda: bool(got), 20 * S), "no end"
-        assert len(got) == 1
-        return got[0]
+    def lookup(self, question: Question = SRV, fresh: bool = False) -> Answer | LookupFailed:
+        results: list[Answer | LookupFailed] = []
+        self.resolver.resolve(question, results.append, fresh)
+        assert self.until(lambda: bool(results), 20 * S), "the question did not end"
+        assert len(results) == 1
+        return results[0]
 
-    def good(self, question: Question = SRV, fresh: bool = False) -> Answer:
-        answer = self.ask(question, fresh=fresh)
+    def lookup_good(self, question: Question = SRV, fresh: bool = False) -> Answer:
+        answer = self.lookup(question, fresh=fresh)
         assert isinstance(answer, Answer)
         return answer
 
-    def given_up(self, question: Question = SRV) -> str:
-        answer = self.ask(question)
+    def lookup_failure(self, question: Question = SRV) -> str:
+        answer = self.lookup(question)
         assert isinstance(answer, LookupFailed)
-        assert self.seconds <= 5.01, "within the deadline of the question"
+        assert self.seconds <= 5.01, "exceeds the deadline of the question"
         return answer.why
 
 
@@ -72,7 +72,7 @@
     made = Net()
     yield made
     made.resolver.close()
-    assert made.loop.watched_count == 0, "a socket was left"
+    assert made.loop.watched_count == 0, "a socket was not closed"
 
 
 @pytest.fixture
@@ -83,42 +83,44 @@
     assert made.loop.watched_count == 0
 
 
-def test_a_good_answer_has_targets_addresses_and_a_lifetime(net: Net) -> None:
-    answer = net.good()
+def test_an_answer_has_targets_addresses_and_a_ttl(net: Net) -> None:
+    answer = net.lookup_good()
     assert [(t.priority, t.weight, t.port, t.host) for t in answer.targets] == [
         (10, 60, 5070, "zurich.calls.example."), (20, 40, 5071, "geneva.calls.example.")]  # fmt: skip
     assert answer.ttl == 30 and answer.extra[ZURICH].addresses == ("127.0.0.2",)
     assert net.servers[0].asked[0].size == 1232
-    assert net.good(ZURICH).addresses == ("127.0.0.2",), "it came along: it is not asked for"
+    assert net.lookup_good(ZURICH).addresses == ("127.0.0.2",), (
+        "cached from the additional section, not queried"
+    )
     assert net.servers[0].counts["udp"] == 1 and not net.servers[0].counts["tcp"]
 
 
-def test_one_question_is_in_flight_however_many_ask_and_the_cache_answers_for_its_lifetime() -> None:
+def test_requests_share_a_query_and_the_cache_answers_until_expiry() -> None:
     net = Net()
-    got: list[object] = []
+    results: list[object] = []
     for _ in range(50):
-        net.resolver.resolve(SRV, got.append)
-    net.until(lambda: len(got) == 50, S)
-    assert len(got) == 50 and net.servers[0].counts["SRV"] == 1
+        net.resolver.resolve(SRV, results.append)
+    net.until(lambda: len(results) == 50, S)
+    assert len(results) == 50 and net.servers[0].counts["SRV"] == 1
     net.run(29 * S, S)
-    net.good()
+    net.lookup_good()
     assert net.servers[0].counts["SRV"] == 1
     net.run(2 * S, S)
-    net.good()
+    net.lookup_good()
     assert net.servers[0].counts["SRV"] == 2
 
 
 @pytest.mark.parametrize(
     "plan", ["truncates", "silent-udp", "no-edns", "forged-first", "ttl-zero", "ttl-68-years"]
 )
-def test_faults_that_a_resolver_sees_through(net: Net, plan: str) -> None:
+def test_faults_that_do_not_prevent_an_answer(net: Net, plan: str) -> None:
     net.plan(plan)
-    answer = net.good()
+    answer = net.lookup_good()
     assert len(answer.targets) == 2
     if plan == "silent-udp":
         assert net.servers[0].counts["tcp"] == 1 and net.servers[0].counts["udp"] == 2
     kept = net.resolver.cache.get(net.now, SRV)
-    assert kept is not None and S <= kept.until - net.now <= 300 * S
+    assert kept is not None and S <= kept.expires_at - net.now <= 300 * S
 
 
 @pytest.mark.parametrize(
@@ -132,132 +134,134 @@
         ("lame", "dns.fault.lame"), ("no-such-name-without-soa", "dns.fault.lame"),
     ],
 )  # fmt: skip
-def test_faults_that_end_in_no_answer_and_never_in_a_wrong_one(net: Net, plan: str, counter: str) -> None:
+def test_faults_that_end_without_an_answer_and_never_with_a_wrong_one(
+    net: Net, plan: str, counter: str
+) -> None:
     before = COUNTERS[counter]
     net.plan(plan)
-    net.given_up()
+    net.lookup_failure()
     assert COUNTERS[counter] > before
     net.plan("good")
     net.run(5 * S)
-    assert len(net.good().targets) == 2, "and it recovers"
+    assert len(net.lookup_good().targets) == 2, "and it recovers"
 
 
 @pytest.mark.parametrize("plan", sorted(FAULTS))
-def test_with_a_good_name_server_beside_it_every_fault_is_got_over(pair: Net, plan: str) -> None:
+def test_a_second_working_name_server_makes_up_for_every_fault(pair: Net, plan: str) -> None:
     if plan in ("cname-loop", "cname-endless"):
-        return  # these are answers: the zone is wrong, not the server
+        return  # a fault of the zone, which any server answers alike
     pair.servers[0].plan(plan)
     for _ in range(3):
-        answer = pair.good(fresh=True)
+        answer = pair.lookup_good(fresh=True)
         names = {target.host for target in answer.targets}
         assert {"zurich.calls.example.", "geneva.calls.example."} <= names
         pair.run(S)
 
 
-def test_where_no_datagram_gets_through_two_name_servers_are_asked_over_tcp_in_the_second_round(
+def test_two_name_servers_that_lose_datagrams_are_queried_over_tcp_in_the_second_round(
     pair: Net,
 ) -> None:
-    """Each had to lose two, which took longer than the question's deadline where that is short."""
+    """Guards against counting losses per name server: two on each took longer than a short deadline."""
     pair.plan("silent-udp")
-    assert len(pair.good().targets) == 2 and pair.seconds < 1.6
+    assert len(pair.lookup_good().targets) == 2 and pair.seconds < 1.6
     assert sum(server.counts["udp"] for server in pair.servers) == 2
     for _ in range(30):
         pair.run(2 * S)
-        pair.good(fresh=True)
+        pair.lookup_good(fresh=True)
     assert sum(server.counts["udp"] for server in pair.servers) < 20, "both are known to lose datagrams"
     pair.plan("good")
     for _ in range(90):
         pair.run(2 * S, 50 * MS)
-        pair.good(fresh=True)
-    assert min(server.datagrams_lost for server in pair.resolver.health.all.values()) == 0
+        pair.lookup_good(fresh=True)
+    assert min(server.udp_failures for server in pair.resolver.health.all.values()) == 0
 
 
-def test_a_dead_name_server_is_asked_once_a_rest_over_each_way_and_recovers(pair: Net) -> None:
-    """Beside a good one its rest is some seconds, and a trial costs its question little."""
-    pair.good()
+def test_a_dead_name_server_gets_one_trial_per_backoff_and_transport_and_recovers(pair: Net) -> None:
+    """While another works, its back-off is some seconds, and a trial delays its question little."""
+    pair.lookup_good()
     dead, alive = sorted(pair.servers, key=lambda server: -server.counts["udp"])
     dead.plan("silence")
-    began = pair.seconds
+    started = pair.seconds
     for _ in range(300):
-        pair.good(fresh=True)
+        pair.lookup_good(fresh=True)
         pair.run(S, 50 * MS)
-    rests = (pair.seconds - began) / (BESIDE_REST.total_seconds() * JITTER[0])
-    assert len(dead.asked) <= 2 * rests + 4 and len(alive.asked) >= 300
+    backoffs = (pair.seconds - started) / (MAX_BACKOFF_WITH_OTHERS.total_seconds() * JITTER[0])
+    assert len(dead.asked) <= 2 * backoffs + 4 and len(alive.asked) >= 300
     dead.plan("good")
     before = len(dead.asked)
     for _ in range(90):
-        pair.good(fresh=True)
+        pair.lookup_good(fresh=True)
         pair.run(S, 50 * MS)
-    assert len(dead.asked) > before and not pair.resolver.health.all[dead.address].dead
+    assert len(dead.asked) > before and not pair.resolver.health.all[dead.address].is_dead
 
 
-def test_all_dead_is_soon_known_and_the_first_that_is_back_is_found(pair: Net) -> None:
+def test_all_name_servers_dead_fails_early_and_the_first_to_recover_is_found(pair: Net) -> None:
     for server in pair.servers:
         server.kill()
-    assert "reachable" in pair.given_up()
+    assert "reachable" in pair.lookup_failure()
     pair.servers[1].revive()
     for _ in range(80):
-        answer = pair.ask(fresh=True)
+        answer = pair.lookup(fresh=True)
         if isinstance(answer, Answer):
             break
         pair.run(S, 50 * MS)
     assert isinstance(answer, Answer)
 
 
-def test_an_answer_that_comes_after_its_question_was_given_up_changes_nothing(net: Net) -> None:
+def test_a_late_answer_to_an_abandoned_question_is_ignored(net: Net) -> None:
     net.plan("slow", seconds=30)
-    net.given_up()
+    net.lookup_failure()
     net.servers[0].srv(SRV.name)
     net.run(60 * S, 50 * MS)
-    assert net.resolver.cache.get(net.now, SRV) is None and not net.resolver.flying
+    assert net.resolver.cache.get(net.now, SRV) is None and not net.resolver.in_flight
 
 
-def test_no_such_name_and_no_such_records_are_answers_where_the_zone_says_so(net: Net) -> None:
-    assert net.good(Question("none.calls.example.", dns.rdatatype.A)).records == 0
-    answer = net.good(Question("geneva.calls.example.", dns.rdatatype.AAAA))
+def test_negative_answers_are_valid_with_an_soa(net: Net) -> None:
+    assert net.lookup_good(Question("none.calls.example.", dns.rdatatype.A)).records == 0
+    answer = net.lookup_good(Question("geneva.calls.example.", dns.rdatatype.AAAA))
     assert answer.records == 0 and answer.ttl == 5
 
 
-def test_a_chain_of_aliases_is_followed_within_one_deadline_and_a_bound(net: Net) -> None:
+def test_a_cname_chain_is_followed_and_has_the_lowest_ttl(net: Net) -> None:
     server = net.servers[0]
     for step in range(5):
         server.put(f"alias{step}", 30 - step, "CNAME", f"alias{step + 1}.calls.example.")
     server.put("alias5", 60, "CNAME", "zurich.calls.example.")
-    answer = net.good(Question("alias0.calls.example.", dns.rdatatype.A))
+    answer = net.lookup_good(Question("alias0.calls.example.", dns.rdatatype.A))
     assert answer.addresses == ("127.0.0.2",) and answer.ttl == 26
 
 
-def test_ids_and_ports_do_not_follow_from_one_another(net: Net) -> None:
+def test_query_ids_are_not_predictable(net: Net) -> None:
     for _ in range(60):
-        net.good(fresh=True)
+        net.lookup_good(fresh=True)
     ids = [asked.message.id for asked in net.servers[0].asked]
     steps = {(b - a) % 65536 for a, b in zip(ids, ids[1:], strict=False)}
     assert len(set(ids)) > 55 and len(steps) > 55
 
 
-def test_questions_beyond_the_bound_wait_their_turn(net: Net) -> None:
-    got: list[object] = []
-    for number in range(3 * MAX_FLIGHTS):
-        net.resolver.resolve(Question(f"h{number}.calls.example.", dns.rdatatype.A), got.append)
-    assert net.resolver.flying == MAX_FLIGHTS
-    assert net.until(lambda: len(got) == 3 * MAX_FLIGHTS, 10 * S)
+def test_questions_beyond_the_limit_are_queued(net: Net) -> None:
+    results: list[object] = []
+    for number in range(3 * MAX_IN_FLIGHT):
+        net.resolver.resolve(Question(f"h{number}.calls.example.", dns.rdatatype.A), results.append)
+    assert net.resolver.in_flight == MAX_IN_FLIGHT
+    assert net.until(lambda: len(results) == 3 * MAX_IN_FLIGHT, 10 * S)
 
 
-def test_two_thousand_targets_come_in_slices(net: Net) -> None:
-    """One turn reads 48 records at most; the whole answer, over TCP, is there in a fraction of a second."""
+def test_two_thousand_targets_are_read_in_slices(net: Net) -> None:
+    """A turn reads at most 48 records; the whole answer over TCP is complete in a fraction of a second."""
     net.servers[0].srv(SRV.name, *((10, 1, port, "zurich") for port in range(1, 2001)))
-    answer = net.good()
+    answer = net.lookup_good()
     assert len(answer.targets) == 2000 and net.seconds < 0.5
 
 
-def test_an_answer_beyond_the_bound_of_records_is_no_answer(net: Net) -> None:
+def test_an_answer_with_too_many_records_is_rejected(net: Net) -> None:
     net.servers[0].host("crowd", *(f"10.0.{n // 250}.{n % 250}" for n in range(MAX_RECORDS + 1)))
     before = COUNTERS["dns.fault.unreadable"]
-    net.given_up(Question("crowd.calls.example.", dns.rdatatype.A))
+    net.lookup_failure(Question("crowd.calls.example.", dns.rdatatype.A))
     assert COUNTERS["dns.fault.unreadable"] > before
 
 
-def test_the_cache_is_bounded_in_number_and_memory_and_lets_the_longest_unused_go() -> None:
+def test_the_cache_is_bounded_and_evicts_the_least_recently_used() -> None:
     world = World()
     cache = Cache(CacheLimits(entries=100, memory=100_000))
     names = [Question(f"h{n}.", dns.rdatatype.A) for n in range(300)]
@@ -274,132 +278,130 @@
     assert len(cache) == 0 and cache.memory == 0
 
 
-def test_a_name_server_that_was_taken_from_the_settings_is_not_asked(pair: Net) -> None:
+def test_a_name_server_removed_from_the_settings_is_not_queried(pair: Net) -> None:
     gone, kept = pair.servers
     pair.resolver.apply_settings(ResolverSettings((kept.address,)))
     for _ in range(5):
-        pair.good(fresh=True)
+        pair.lookup_good(fresh=True)
     assert not gone.asked and len(kept.asked) == 5
 
 
-def test_health_prefers_the_quick_and_gives_each_dead_one_a_single_trial() -> None:
+def test_the_quickest_name_server_is_picked_and_a_dead_one_gets_a_single_trial() -> None:
     world, one, two = World(), ("127.0.0.1", 1), ("127.0.0.1", 2)
     health = NameServers((one, two), random.Random(1))
-    health.answered(one, 200 * MS)
-    health.answered(two, 10 * MS)
+    health.record_answer(one, 200 * MS)
+    health.record_answer(two, 10 * MS)
     assert health.pick(world.now, ()) == (two, False)
     for _ in range(3):
-        health.failed(world.now, two)
+        health.record_failure(world.now, two)
     assert health.pick(world.now, ()) == (one, False)
     world.seconds += 6
     assert [health.pick(world.now, ()) for _ in range(3)] == [(two, True), (one, False), (one, False)]
 
 
-def test_a_rest_begun_beside_others_is_cut_short_when_they_die_too() -> None:
+def test_a_backoff_is_shortened_when_the_other_name_servers_die() -> None:
     world, one, two = World(), ("127.0.0.1", 1), ("127.0.0.1", 2)
     health = NameServers((one, two), random.Random(1))
     for _ in range(8):
-        health.failed(world.now, one)
-    assert health.rested_at(health.all[one]) == world.now + BESIDE_REST * health.all[one].jitter
+        health.record_failure(world.now, one)
+    assert health.due_at(health.all[one]) == world.now + MAX_BACKOFF_WITH_OTHERS * health.all[one].jitter
     for _ in range(3):
-        health.failed(world.now, two)
-    assert health.rested_at(health.all[one]) == world.now + ALONE_REST * health.all[one].jitter
+        health.record_failure(world.now, two)
+    assert health.due_at(health.all[one]) == world.now + MAX_BACKOFF_ALONE * health.all[one].jitter
 
 
-def outage(net: Net, ways: str, seconds: float = 3.0) -> float:
-    """Well over these ways, silent for so long, then well again: seconds until the resolver knows."""
-    well = {"both": "good", "udp": "good", "tcp": "silent-udp"}[ways]
-    net.plan(well)
-    if ways == "udp":
+def outage(net: Net, transports: str, seconds: float = 3.0) -> float:
+    """Works over these transports, is silent, works again: seconds until the resolver has noticed."""
+    working = {"both": "good", "udp": "good", "tcp": "silent-udp"}[transports]
+    net.plan(working)
+    if transports == "udp":
         for server in net.servers:
             server.refuse_tcp()
-    net.good()
+    net.lookup_good()
     net.plan("silence")
     end = net.seconds + seconds
     while net.seconds < end:
         net.resolver.resolve(SRV, lambda _: None, fresh=True)
         net.run(500 * MS, 10 * MS)
-    net.plan(well)
+    net.plan(working)
     back = net.seconds
     health = net.resolver.health.all
     while any(server.failures for server in health.values()) and net.seconds < back + 60:
-        if not net.resolver.flying:
+        if not net.resolver.in_flight:
             net.resolver.resolve(SRV, lambda _: None, fresh=True)
         net.run(10 * MS)
     return net.seconds - back
 
 
-# The bound: a rest of ALONE_REST times the jitter at most, a try of one that failed waits 100 ms; a question
-# every 0.5 s.
-ALONE_BOUND_S = ALONE_REST.total_seconds() * JITTER[1] + 0.5
+# At most a back-off of MAX_BACKOFF_ALONE with jitter; the trial of a failed one times out after 100 ms, and
+# there is a question every 0.5 s.
+ALONE_RECOVERY_S = MAX_BACKOFF_ALONE.total_seconds() * JITTER[1] + 0.5
 
 
-@pytest.mark.parametrize("ways", ["udp", "tcp", "both"])
-def test_one_name_server_alone_is_found_again_within_its_bound_after_a_short_outage(
-    net: Net, ways: str
-) -> None:
-    """Found by a probe: one that answers over UDP only was silent for 3 s; after 60 s nothing was learnt."""
-    assert outage(net, ways) <= ALONE_BOUND_S
+@pytest.mark.parametrize("transports", ["udp", "tcp", "both"])
+def test_a_single_name_server_recovers_in_time_after_a_short_outage(net: Net, transports: str) -> None:
+    """A server reachable only over UDP was once still unused 60 s after an outage of 3 s."""
+    assert outage(net, transports) <= ALONE_RECOVERY_S
 
 
-def test_two_dead_then_either_back_is_found_within_the_bound_alone(pair: Net) -> None:
+def test_either_of_two_dead_name_servers_is_found_in_time_when_back(pair: Net) -> None:
     for back in pair.servers:
         for server in pair.servers:
             server.kill()
         pair.run(8 * S, 100 * MS)
         back.revive()
-        began = pair.seconds
-        while isinstance(pair.ask(fresh=True), LookupFailed):
+        started = pair.seconds
+        while isinstance(pair.lookup(fresh=True), LookupFailed):
             pair.run(10 * MS)
-        assert pair.seconds - began <= ALONE_BOUND_S + QueryTimeouts().deadline.total_seconds() / 5
+        assert pair.seconds - started <= ALONE_RECOVERY_S + QueryTimeouts().deadline.total_seconds() / 5
         for server in pair.servers:
             server.revive()
         pair.run(S)
 
 
-def test_one_of_two_after_an_outage_is_known_well_within_the_bound_beside_others(pair: Net) -> None:
-    pair.good()
-    out = max(pair.servers, key=lambda server: len(server.asked))  # the one that is asked first
-    out.plan("silence")
+def test_one_of_two_name_servers_recovers_in_time_after_an_outage(pair: Net) -> None:
+    pair.lookup_good()
+    failing = max(pair.servers, key=lambda server: len(server.asked))  # the one that is queried first
+    failing.plan("silence")
     for _ in range(10):
-        pair.good(fresh=True)
+        pair.lookup_good(fresh=True)
         pair.run(500 * MS, 10 * MS)
-    assert pair.resolver.health.all[out.address].failures, "the outage was noticed"
-    out.plan("good")
+    assert pair.resolver.health.all[failing.address].failures, "the outage was noticed"
+    failing.plan("good")
     back = pair.seconds
-    while pair.resolver.health.all[out.address].failures:
-        if not pair.resolver.flying:
+    while pair.resolver.health.all[failing.address].failures:
+        if not pair.resolver.in_flight:
             pair.resolver.resolve(SRV, lambda _: None, fresh=True)
         pair.run(10 * MS)
-    assert pair.seconds - back <= BESIDE_REST.total_seconds() * JITTER[1] + 0.5
+    assert pair.seconds - back <= MAX_BACKOFF_WITH_OTHERS.total_seconds() * JITTER[1] + 0.5
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 3))
-def test_no_bytes_from_the_net_do_more_than_be_unreadable(noise: bytes, where: int) -> None:
+def test_arbitrary_bytes_raise_at_most_a_read_error(noise: bytes, where: int) -> None:
     query = dns.message.make_query(SRV.name, "SRV")
     wire = dns.message.make_response(query).to_wire()
     data = (noise, wire + noise, wire[:7] + noise + wire[7:], noise[:8] + b"\0\x09" * 2 + noise)[where]
     try:
         read_head(data)
-        for _ in (reading := read_reply(data)):
+        for _ in (reader := read_reply(data)):
             pass
-        reading.close()
+        reader.close()
     except ReadError:
         pass
 
 
-def test_tc_is_never_taken_for_an_answer() -> None:
+def test_a_truncated_reply_is_never_an_answer() -> None:
     query = dns.message.make_query(SRV.name, "SRV")
-    reading = read_reply(dns.message.make_response(query).to_wire())
+    reader = read_reply(dns.message.make_response(query).to_wire())
     with pytest.raises(StopIteration) as end:
         while True:
-            next(reading)
+            next(reader)
     reply = end.value.value
-    assert meaning(reply, SRV) is Fault.LAME
+    assert interpret(reply, SRV) is Fault.LAME
     reply.flags |= 0x0200
-    assert meaning(reply, SRV) is Fault.CUT
+    assert interpret(reply, SRV) is Fault.CUT
 
 
-def test_a_question_is_patient_but_not_for_ever() -> None:
+def test_the_default_timeouts_are_ordered() -> None:
     assert QueryTimeouts().first < QueryTimeouts().longest < QueryTimeouts().deadline
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""The program with several sources of call servers, under load, while its name servers do their worst."""
+"""The program with several sources of call servers, under load and with faulty name servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from reedmount.core.checks import COUNTERS, LOGGED_COUNTS
 from reedmount.core.lifecycle import Phase
 from reedmount.core.ports import Offer, Progress
-from reedmount.dns.health import ALONE_REST, JITTER
+from reedmount.dns.health import JITTER, MAX_BACKOFF_ALONE
 from reedmount.net.connection import format_address
 from reedmount.pool.claims import Claim, ClaimState
 from reedmount.pool.rule import Rule
@@ -24,45 +24,47 @@
 
 
 def campaign(folder: Path, faults: list[str], rate: float) -> tuple[Site, float]:
-    """Under each fault in turn: one server drains by the list while another is left out by SRV, then back."""
+    """For each fault, drain one server by the list and omit another from SRV, then restore both."""
     more = "ttl_floor_s = 0.5\nttl_ceiling_s = 1.0\ndeadline_ms = 1000"
     site = Site(folder, servers=6, work=100 * MS, ttl=1, more=more)
     callers = site.callers(rate)
     site.run(S)
-    begun = site.now
+    started = site.now
     for turn, fault in enumerate(faults):
         callers.start(site.now, 5 * S)
         site.plan(fault)
-        drained, left_out = site.servers[turn % 6], site.servers[(turn + 3) % 6]
+        drained, omitted = site.servers[turn % 6], site.servers[(turn + 3) % 6]
         site.drain(drained)
-        site.publish(left_out)
+        site.publish(omitted)
         site.run(2 * S)
         site.plan("good")
         site.publish()
         site.undrain(drained)
         site.run(3 * S)
         while site.host.pool.sources["srv"].parts[SRV].failures:
-            callers.start(site.now, S)  # until a name server was found to be back
+            callers.start(site.now, S)  # until a name server is known to be back
             site.run(S)
     until = site.now
     site.run(5 * S)
     assert callers.counts["calls"] > 0 and callers.faults() == []
     assert site.referee.late(site.servers) == []
-    return site, callers.share(begun, until)
+    return site, callers.share(started, until)
 
 
-def test_every_fault_under_load_keeps_the_drain_rule_and_the_service(tmp_path: Path) -> None:
-    """At 90% of what four of six servers can do: 36 calls a second, each with its one final answer."""
+def test_drains_and_service_hold_under_load_with_every_fault(tmp_path: Path) -> None:
+    """Runs 36 calls/s, 90% of what four of six servers can take; each call gets one final answer."""
     faults = [name for name in FAULTS if name != "good"]
     site, share = campaign(tmp_path, faults, 36.0)
-    met = {fault for fault in faults if any(name.counts[f"did {fault}"] for name in site.names)}
-    assert met == set(faults)
+    seen_faults = {fault for fault in faults if any(name.counts[f"did {fault}"] for name in site.names)}
+    assert seen_faults == set(faults)
     assert not site.node.switch.unanswered
-    _, calm = campaign(tmp_path, ["good"] * len(faults), 36.0)
-    assert abs(calm - share) < 0.01, f"{share} of the calls stood, {calm} without faults"
+    _, undisturbed = campaign(tmp_path, ["good"] * len(faults), 36.0)
+    assert abs(undisturbed - share) < 0.01, (
+        f"{share} of the calls were established, {undisturbed} without faults"
+    )
 
 
-def test_srv_lists_a_server_that_the_list_calls_gone(tmp_path: Path) -> None:
+def test_a_server_removed_by_the_list_gets_no_calls_while_srv_names_it(tmp_path: Path) -> None:
     site = Site(tmp_path)
     callers = site.callers(20)
     callers.start(site.now, 8 * S)
@@ -75,7 +77,7 @@
     assert site.host.pool.claim_states(site.now, entry.endpoint)["srv"] is ClaimState.SERVING
 
 
-def test_the_list_is_silent_and_srv_drains(tmp_path: Path) -> None:
+def test_srv_drains_a_server_while_the_list_is_silent(tmp_path: Path) -> None:
     site = Site(tmp_path)
     site.run(S)
     site.board.silent = True
@@ -88,10 +90,10 @@
 
 
 @pytest.mark.parametrize("outage_s", [3, 30])
-def test_a_drain_by_srv_is_heard_soon_after_an_outage_of_a_name_server_that_refuses_tcp(
+def test_a_drain_by_srv_takes_effect_soon_after_an_outage_of_a_name_server_without_tcp(
     tmp_path: Path, outage_s: int
 ) -> None:
-    """Found by a probe: after 3 s of silence a name server reached over UDP alone was not asked for long."""
+    """After 3 s of silence, a name server reachable only over UDP was once not queried for a long time."""
     site = Site(tmp_path, board=False, name_servers=1)
     site.names[0].refuse_tcp()
     site.run(S)
@@ -100,16 +102,16 @@
     site.publish(site.servers[0])
     site.run(outage_s * S, 50 * MS)
     site.plan("good")
-    back = site.seconds
-    while site.servers[0].address in site.serving() and site.seconds < back + 60:
+    restored_at = site.seconds
+    while site.servers[0].address in site.serving() and site.seconds < restored_at + 60:
         site.run(50 * MS, 50 * MS)
-    # The watch's longest pause in the site's file (2 s) with its jitter, and the resolver's bound alone.
-    assert site.seconds - back <= 2 * JITTER[1] + ALONE_REST.total_seconds() * JITTER[1] + 0.5
+    # The longest lookup back-off in the site's settings (2 s) and the resolver's, each with jitter.
+    assert site.seconds - restored_at <= 2 * JITTER[1] + MAX_BACKOFF_ALONE.total_seconds() * JITTER[1] + 0.5
 
 
 @pytest.mark.parametrize("outage", [30, 600])
-def test_a_resolver_that_answers_each_question_after_30_s(tmp_path: Path, outage: int) -> None:
-    """For 30 s and for 10 min: what it said last goes on, and nothing it says late is taken."""
+def test_answers_delayed_by_30_s_are_ignored_and_the_last_ones_kept(tmp_path: Path, outage: int) -> None:
+    """For 30 s and 10 min the last answers stay in use, and late ones are ignored."""
     site = Site(tmp_path, board=False)
     site.run(S)
     known = site.serving()
@@ -130,9 +132,11 @@
     assert site.serving() == known - {site.servers[0].address}
 
 
-def test_all_name_servers_dead_at_the_start(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """It starts, says so, serves from the list, and takes what is new an hour later for cold."""
-    LOGGED_COUNTS.clear()  # earlier tests may have said this kind of line too often
+def test_it_starts_from_the_list_with_all_name_servers_dead(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """It logs the failure and serves from the list; servers new in SRV an hour later are cold."""
+    LOGGED_COUNTS.clear()  # earlier tests may have used up the limit for this kind of line
     site = Site(tmp_path, dead=True, cold_s=14.0)
     site.run(8 * S)
     assert "going on with 3 call servers" in capsys.readouterr().err
@@ -141,10 +145,10 @@
     callers.start(site.now, 3 * S)
     site.run(6 * S)
     assert callers.faults() == [] and callers.share(site.now - 6 * S, site.now) == 1.0
-    fresh = CallServer()
-    site.servers.append(fresh)
-    site.stands.append(fresh)
-    site.ranks[fresh.address] = (10, 10)
+    new_server = CallServer()
+    site.servers.append(new_server)
+    site.stands.append(new_server)
+    site.ranks[new_server.address] = (10, 10)
     site.run(3600 * S, S)
     site.publish()
     for name in site.names:
@@ -154,7 +158,7 @@
     assert [entries[server.address].started is None for server in site.servers] == [True] * 3 + [False]
 
 
-def test_without_any_other_source_it_starts_and_refuses_at_once_until_a_name_server_answers(
+def test_without_another_source_calls_are_refused_at_once_until_a_name_server_answers(
     tmp_path: Path,
 ) -> None:
     site = Site(tmp_path, dead=True, board=False)
@@ -169,8 +173,8 @@
     assert site.node.switch.lifecycle.phase is Phase.READY
 
 
-def test_the_record_set_changes_on_every_answer(tmp_path: Path) -> None:
-    """Each server is left out by every third answer: it drains, comes back cold, and no call is lost."""
+def test_a_record_set_that_changes_with_every_answer_loses_no_call(tmp_path: Path) -> None:
+    """Every third answer omits a server: it drains and returns cold, and no call is lost."""
     site = Site(tmp_path, board=False, cold_s=0.5, more="ttl_floor_s = 0.5")
     callers = site.callers(10)
     callers.start(site.now, 20 * S)
@@ -183,31 +187,31 @@
     assert len(site.host.pool.entries) <= 3 and len(site.host.pool._tombstones) <= 3
 
 
-def test_a_server_moves_between_bands_with_calls_standing(tmp_path: Path) -> None:
+def test_a_server_that_moves_between_bands_keeps_its_established_calls(tmp_path: Path) -> None:
     site = Site(tmp_path, board=False)
     site.ranks[site.servers[2].address] = (20, 10)
     site.publish()
     site.run(3 * S)
-    first, spare = site.servers[0], site.servers[2]
+    former, spare = site.servers[0], site.servers[2]
     callers = site.callers(20)
     callers.hold = 12 * S
     callers.start(site.now, 2 * S)
     site.run(2 * S)
-    assert first.standing and not spare.invites, "the upper band is closed"
-    site.ranks[first.address], site.ranks[spare.address] = (30, 10), (10, 10)
+    assert former.standing and not spare.invites, "the higher band is closed"
+    site.ranks[former.address], site.ranks[spare.address] = (30, 10), (10, 10)
     site.publish()
     site.run(3 * S)
-    before = len(first.invites)
-    standing = set(first.standing)
+    before = len(former.invites)
+    standing = set(former.standing)
     callers.start(site.now, 3 * S)
     site.run(4 * S)
-    assert spare.invites and len(first.invites) == before
-    assert standing and standing <= first.standing, "its calls go on"
+    assert spare.invites and len(former.invites) == before
+    assert standing and standing <= former.standing, "its calls continue"
     site.run(16 * S)
-    assert callers.faults() == [] and not first.standing, "and are released by their callers"
+    assert callers.faults() == [] and not former.standing, "released by their callers"
 
 
-def test_the_next_band_opens_when_the_lower_one_is_pressed_and_closes_again(tmp_path: Path) -> None:
+def test_the_next_band_opens_under_pressure_and_closes_again(tmp_path: Path) -> None:
     site = Site(tmp_path, board=False, pool="close_s = 3.0")
     for server in site.servers[1:]:
         site.ranks[server.address] = (20, 10)
@@ -216,7 +220,7 @@
     callers = site.callers(5)
     callers.start(site.now, 3 * S)
     site.run(3 * S)
-    assert site.host.bands.open == [10] and not site.servers[1].invites, "20 a second is what it can do"
+    assert site.host.bands.open == [10] and not site.servers[1].invites, "it can take 20 calls/s"
     callers.rate = 15
     site.servers[0].state = "silent"
     callers.start(site.now, 6 * S)
@@ -230,8 +234,8 @@
     assert callers.faults() == []
 
 
-class Heard:
-    """A caller of the core that keeps what it hears."""
+class RecordingCaller:
+    """A caller of the core that records the final results."""
 
     def __init__(self) -> None:
         self.finals: list[str] = []
@@ -240,7 +244,7 @@
         pass
 
     def answered(self, name: str, description: bytes) -> None:
-        self.finals.append("stands")
+        self.finals.append("established")
 
     def refused(self, name: str, pause: timedelta) -> None:
         self.finals.append("refused")
@@ -252,24 +256,24 @@
         pass
 
 
-def test_a_drain_told_by_srv_while_the_module_has_chosen_and_nothing_was_sent_yet(tmp_path: Path) -> None:
-    """The call comes 1 ms before the word: the module still chooses the server, its side sends nothing."""
+def test_a_drain_by_srv_stops_a_call_that_was_routed_but_not_sent(tmp_path: Path) -> None:
+    """The call comes 1 ms before the drain: routing still chose the server, but nothing is sent to it."""
     site = Site(tmp_path, servers=2, board=False)
     site.run(S)
     leaving, other = site.servers
     entry = site.host.pool.entries[leaving.address]
-    heard = Heard()
+    caller = RecordingCaller()
     offer = Offer("c1", "plain", "100", entry.number, site.now + 3 * S, b"c1")
-    assert site.node.switch.offer(offer, heard)
+    assert site.node.switch.offer(offer, caller)
     site.seconds += 0.001
     claim = Claim(other.address, "c1.calls.example", transport="udp", priority=10, weight=10)
     site.host.full_update("srv", [claim], SRV, S, S)
-    assert site.host.pool.entries.get(leaving.address) is None, "told, before the module has looked at it"
+    assert site.host.pool.entries.get(leaving.address) is None, "removed before the call was sent"
     site.run(2 * S)
-    assert not leaving.invites and other.invites and heard.finals == ["stands"]
+    assert not leaving.invites and other.invites and caller.finals == ["established"]
 
 
-def test_a_drain_told_by_srv_among_200_calls_a_second(tmp_path: Path) -> None:
+def test_a_drain_by_srv_among_200_calls_a_second(tmp_path: Path) -> None:
     site = Site(tmp_path, servers=2, board=False, work=5 * MS)
     site.run(S)
     leaving, other = site.servers
@@ -277,30 +281,30 @@
     callers.start(site.now, 4 * S)
     site.publish(leaving)
     assert site.until(lambda: leaving.address not in site.serving(), 4 * S)
-    told = site.now
+    told_at = site.now
     site.run(6 * S)
-    assert leaving.invites and not [came for came in leaving.invites if came > told + 5 * MS]
-    assert callers.faults() == [] and [came for came in other.invites if came > told]
-    assert callers.share(told, site.now) > 0.99
+    assert leaving.invites and not [sent_at for sent_at in leaving.invites if sent_at > told_at + 5 * MS]
+    assert callers.faults() == [] and [sent_at for sent_at in other.invites if sent_at > told_at]
+    assert callers.share(told_at, site.now) > 0.99
 
 
-def test_a_cold_server_named_by_two_sources_at_different_moments_is_paced_once(tmp_path: Path) -> None:
+def test_a_cold_server_named_by_two_sources_at_different_times_is_paced_once(tmp_path: Path) -> None:
     site = Site(tmp_path, servers=2, cold_s=10.0)
     site.run(12 * S)
-    fresh = CallServer()
-    site.servers.append(fresh)
-    site.stands.append(fresh)
-    site.ranks[fresh.address] = (10, 10)
+    new_server = CallServer()
+    site.servers.append(new_server)
+    site.stands.append(new_server)
+    site.ranks[new_server.address] = (10, 10)
     site.publish()
-    assert site.until(lambda: fresh.address in site.serving(), 5 * S)
-    started = site.host.pool.entries[fresh.address].started
+    assert site.until(lambda: new_server.address in site.serving(), 5 * S)
+    started = site.host.pool.entries[new_server.address].started
     site.run(4 * S)
-    site.board.say(fresh.address, "SERVING")
+    site.board.say(new_server.address, "SERVING")
     site.run(2 * S)
-    assert site.host.pool.entries[fresh.address].started == started is not None
+    assert site.host.pool.entries[new_server.address].started == started is not None
 
 
-def test_a_reload_takes_names_and_servers_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_a_reload_applies_names_and_servers_completely_or_not_at_all(tmp_path: Path) -> None:
     site = Site(tmp_path, servers=2, board=False)
     site.run(S)
     text = site.file.read_text()
@@ -321,7 +325,7 @@
     assert site.serving() == {("127.0.0.1", 9)}
 
 
-def test_the_door_shows_which_source_said_what_and_which_rule_decided(tmp_path: Path) -> None:
+def test_the_admin_interface_shows_claims_and_the_deciding_rule(tmp_path: Path) -> None:
     site = Site(tmp_path, servers=2, start=False)
     site.file.write_text(site.file.read_text() + '\n[door]\ncontrol = "127.0.0.1:0"\n')
     site.start()
@@ -333,14 +337,14 @@
     with socket.create_connection(admin_server.address, 5) as operator:
         operator.sendall(b"GET /admin/pool HTTP/1.1\r\nHost: x\r\n\r\n")
         operator.settimeout(0.05)
-        said = b""
+        response = b""
         for _ in range(40):
             site.settle()
             try:
-                said += operator.recv(65536)
+                response += operator.recv(65536)
             except TimeoutError:
                 break
-    shown = json.loads(said.partition(b"\r\n\r\n")[2])
+    shown = json.loads(response.partition(b"\r\n\r\n")[2])
     by_state = {row["state"]: row for row in shown["servers"]}
     leaving = by_state["leaving"]
     assert leaving["rule"] == "draining" and leaving["decided_by"] == ["list"]
@@ -350,7 +354,7 @@
     assert shown["sources"]["srv"][0]["failures"] == 0
 
 
-def test_ipv6_call_servers_are_reached_where_the_front_listens_for_them(tmp_path: Path) -> None:
+def test_ipv6_call_servers_are_reached_if_the_front_listens_on_ipv6(tmp_path: Path) -> None:
     site = Site(tmp_path, servers=0, board=False, more="ipv6 = true", start=False)
     site.file.write_text(site.file.read_text().replace("[sip]", '[sip]\nlisten6 = "[::1]:0"'))
     server = CallServer(("::1", 0))
@@ -367,8 +371,8 @@
     assert server.counts["ACK"] == server.counts["BYE"] == callers.counts["calls"]
 
 
-def test_a_drain_waits_behind_no_other_source_s_long_answer(tmp_path: Path) -> None:
-    """2,000 targets of SRV are being taken, a slice a turn; the zone's update says that a server leaves."""
+def test_a_drain_does_not_wait_for_a_long_answer_of_another_source(tmp_path: Path) -> None:
+    """While 2,000 SRV targets are added in slices, an update of the zone drains a server."""
     site = Site(tmp_path, servers=2, board=False)
     site.run(S)
     leaving = site.servers[0].address
@@ -377,25 +381,25 @@
     site.host.full_update("zone", named)
     site.run(50 * MS)
     site.host.full_update("srv", [*many, *named], "other", 60 * S)
-    assert len(site.host.pool.entries) < 100, "it has only begun"
+    assert len(site.host.pool.entries) < 100, "only the first slices are added"
     site.host.full_update("zone", named[1:])
     assert not site.host.pool.entries[leaving].serves
-    told = [entry for entry, serving in site.host._core_state.items() if not serving]
-    assert format_address(leaving) in told, "and the core knows"
+    withdrawn = [entry for entry, serving in site.host._core_state.items() if not serving]
+    assert format_address(leaving) in withdrawn, "the core has been notified"
     site.run(S)
     site.host.full_update("srv", named, "other", 60 * S)
     site.run(100 * MS)
-    assert len(site.host.pool.entries) == 2, "2,000 that leave at once are told within 250 ms"
+    assert len(site.host.pool.entries) == 2, "2,000 leaving servers are announced within 250 ms"
 
 
-def test_two_thousand_targets_are_learnt_in_under_a_second_and_in_slices(tmp_path: Path) -> None:
+def test_two_thousand_targets_are_added_in_slices_within_a_second(tmp_path: Path) -> None:
     site = Site(tmp_path, servers=1, board=False)
     site.run(S)
     host = site.servers[0].address[0]
     for name in site.names:
         name.srv("_sip._udp.calls.example.", *((10, 1, port, "c0") for port in range(10_000, 12_000)), ttl=60)
         name.host("c0", host)
-    begun = site.now
+    started = site.now
     assert site.until(lambda: len(site.serving()) >= 2000, 5 * S)
-    heard = site.host.pool.sources["srv"].parts["_sip._udp.calls.example."].last_answer_at
-    assert heard is not None and site.now - heard < S and heard - begun < 3 * S
+    answered_at = site.host.pool.sources["srv"].parts["_sip._udp.calls.example."].last_answer_at
+    assert answered_at is not None and site.now - answered_at < S and answered_at - started < 3 * S
