--- a/reedmount/pool/bands.py
+++ b/reedmount/pool/bands.py
@@ -15,7 +15,7 @@
 from reedmount.core.checks import COUNTERS
 
 WEIGHT_SCALE = 100  # units per weight; a weight of 0 beside others gets a single unit
-DOWN_AFTER_FAILURES = 3  # consecutive attempts unreachable or unanswered
+DOWN_AFTER_FAILURES = 3  # attempts unreachable or unanswered, with no call established in between
 
 
 @dataclass(frozen=True, slots=True)
--- a/reedmount/pool/claims.py
+++ b/reedmount/pool/claims.py
@@ -38,4 +38,4 @@
     def __post_init__(self) -> None:
         """Reject states that only the pool derives from the age of a claim."""
         if self.state not in (ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE):
-            raise ValueError(f"a source cannot report the state {self.state.value!r}")
+            raise ValueError(f"a source cannot report the state {self.state.value}")
--- a/reedmount/pool/source.py
+++ b/reedmount/pool/source.py
@@ -13,8 +13,8 @@
 class Part:
     """A unit that is updated as a whole: one SRV name, or a complete list."""
 
-    first_answer_at: datetime | None = None  # first valid answer
-    last_answer_at: datetime | None = None  # last valid answer
+    first_answer_at: datetime | None = None
+    last_answer_at: datetime | None = None
     fresh_until: datetime | None = None  # None: until the next update
     stale_until: datetime | None = None
     sequence: int = 0  # updates so far, full and partial: the newer one takes precedence
@@ -109,8 +109,8 @@
         previous = self.statements.get(endpoint, {}).get(name)
         if previous is None or previous.sequence > sequence:
             return
-        gone = replace(previous.claim, state=ClaimState.GONE, started=None)
-        self.statements[endpoint][name] = Statement(gone, now, sequence)
+        omission = replace(previous.claim, state=ClaimState.GONE, started=None)
+        self.statements[endpoint][name] = Statement(omission, now, sequence)
 
     def state_of(self, now: datetime, endpoint: Endpoint) -> ClaimState:
         """Return the state it reports of a server: draining first, and a claim in any part before absence."""
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -30,7 +30,7 @@
 class Net(World):
     """A resolver with some name servers."""
 
-    def __init__(self, servers: int = 1, **limits: object) -> None:
+    def __init__(self, servers: int = 1, **cache_limits: object) -> None:
         super().__init__()
         self.servers = [NameServer(seed=number) for number in range(servers)]
         for server in self.servers:
@@ -40,7 +40,7 @@
         self.stands += self.servers
         self.resolver = Resolver(
             self.loop,
-            ResolverSettings(tuple(s.address for s in self.servers), limits=CacheLimits(**limits)),  # type: ignore[arg-type]
+            ResolverSettings(tuple(s.address for s in self.servers), limits=CacheLimits(**cache_limits)),  # type: ignore[arg-type]
             random.Random(3),
         )
 
@@ -119,8 +119,8 @@
     assert len(answer.targets) == 2
     if plan == "silent-udp":
         assert net.servers[0].counts["tcp"] == 1 and net.servers[0].counts["udp"] == 2
-    kept = net.resolver.cache.get(net.now, SRV)
-    assert kept is not None and S <= kept.expires_at - net.now <= 300 * S
+    cached = net.resolver.cache.get(net.now, SRV)
+    assert cached is not None and S <= cached.expires_at - net.now <= 300 * S
 
 
 @pytest.mark.parametrize(
@@ -279,11 +279,11 @@
 
 
 def test_a_name_server_removed_from_the_settings_is_not_queried(pair: Net) -> None:
-    gone, kept = pair.servers
-    pair.resolver.apply_settings(ResolverSettings((kept.address,)))
+    removed, remaining = pair.servers
+    pair.resolver.apply_settings(ResolverSettings((remaining.address,)))
     for _ in range(5):
         pair.lookup_good(fresh=True)
-    assert not gone.asked and len(kept.asked) == 5
+    assert not removed.asked and len(remaining.asked) == 5
 
 
 def test_the_quickest_name_server_is_picked_and_a_dead_one_gets_a_single_trial() -> None:
