--- a/reedmount/config.py
+++ b/reedmount/config.py
@@ -192,7 +192,7 @@
 
 def span_of(options: list[str], key: str) -> timedelta | None:
     """A span above 0, in microseconds; None where it is not told, or 0."""
-    text = Options(options).maybe(key)
+    text = Options(options).find(key)
     if text and not (text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS):
         raise ConfigError(f"settings.{key}: not a whole number of microseconds: {text!r}")
     return span(int(text)) or None if text else None
--- a/reedmount/interface.py
+++ b/reedmount/interface.py
@@ -1,6 +1,6 @@
-"""What goes into and out of the controller: settings, events and actions.
+"""Inputs and outputs of the controller: settings, events and actions.
 
-Nothing here decides anything. All times are integer microseconds; clock times are on the clock that is
+There is no decision logic here. All times are integer microseconds; clock times are on the clock that is
 passed to ``Controller.handle``.
 """
 
@@ -12,16 +12,16 @@
 
 
 class ServerState(Enum):
-    """What the pool list says of a server."""
+    """State of a server in the pool list."""
 
     SERVING = "serving"
-    STANDBY = "standby"  # in a band that is closed
+    STANDBY = "standby"  # its band is closed
     DRAINING = "draining"
     REMOVED = "removed"
 
 
 class ListKind(Enum):
-    """How a pool list relates to the one held before."""
+    """How a pool list relates to the previous one."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -43,7 +43,7 @@
 
 
 class Cause(Enum):
-    """Why an attempt was turned away, where the answer says so."""
+    """Why an attempt was refused, where the answer says so."""
 
     NONE = "none"
     NO_LINE = "no free line"
@@ -53,7 +53,7 @@
 
 
 class Effect(Enum):
-    """What repeating a call of a class may do."""
+    """Effect of executing a call of a class more than once."""
 
     REPEATABLE = "repeatable"
     KEYED = "keyed"
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of calls: ``aim_us`` is the wanted set-up time, ``late_share`` the worth left after it."""
+    """A class of calls: ``target_us`` is the wanted set-up time, ``late_share`` the worth left after it."""
 
     name: str
     worth: float
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and the rate, over all proxies, up to which its calls count in full."""
+    """A tenant and the rate, over all instances, up to which its calls count in full."""
 
     name: str
     quota_per_s: float
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a site tells each proxy at its start."""
+    """Settings of a site, the same for each instance."""
 
     instances: int
     classes: tuple[CallClass, ...]
@@ -99,12 +99,12 @@
     may_cancel: bool
     redials_marked: bool
     subscribe: bool
-    max_retry_after_us: float = math.inf  # that callers heed when they are refused; 0: they are told none
+    max_retry_after_us: float = math.inf  # longest wait that refused callers respect; 0: none is sent
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server told of itself; ``None`` where it said nothing."""
+    """Load of a server as reported by itself; ``None`` for values not reported."""
 
     free_lines: float | None = None
     lines: float | None = None
@@ -113,18 +113,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of a pool list; ``started_us`` is 0 where the start is long past."""
+    """An entry of a pool list; ``started_us`` is 0 where the start is long past."""
 
     server: str
     number: int
     state: ServerState
     started_us: int
-    band: int = 0  # RFC 2782's priority: the lowest with room is used
+    band: int = 0  # priority as in RFC 2782: the lowest band with room is used
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the pool."""
+    """A pool list or changes to it."""
 
     version: int
     kind: ListKind
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewCall:
-    """A caller asks for a set-up; the final answer is due by ``answer_by_us``."""
+    """A caller requests a set-up; the final answer is due by ``answer_by_us``."""
 
     call: int
     call_class: str
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over; ``closed`` says that the call is too."""
+    """An attempt has ended; ``closed`` if the call has as well."""
 
     call: int
     attempt: int
@@ -171,29 +171,32 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAbandoned:
-    """The caller left; nothing more is owed."""
+    """The caller gave up; no final answer is due."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set earlier has run out."""
+    """A timer has expired."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReports:
-    """What servers told of themselves, unasked or to a probe. All that came at once are one event: each event
-    costs the module a look at all that it holds, and many servers tell at the same instant."""
+    """Load reports of servers, unsolicited or in answer to a probe.
+
+    Reports that arrive together form one event: each event makes the controller check all its calls and
+    servers, and many servers report at the same instant.
+    """
 
     reports: tuple[tuple[str, LoadReport], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class PeerNote:
-    """A note from another proxy."""
+    """A message from another instance."""
 
     sender: int
     body: bytes
@@ -213,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSetup:
-    """Send the call to a server; the attempt ends by itself after ``give_up_us``."""
+    """Send the call to a server; the attempt times out after ``give_up_us``."""
 
     call: int
     server: str
@@ -229,7 +232,7 @@
 
 
 class Reason(Enum):
-    """Why a call is given up."""
+    """Why no further attempt is made."""
 
     NO_ATTEMPT_LEFT = "no attempt left"
     FAULTS = "servers answered it with faults"
@@ -241,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Final answer: refused, with advice when to dial again (0 for none)."""
+    """Final answer: refused, with the time after which to redial (0 for none)."""
 
     call: int
     retry_after_us: int
@@ -258,7 +261,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for ``TimerFired`` after a while."""
+    """Request a ``TimerFired`` after a time."""
 
     name: str
     after_us: int
@@ -266,12 +269,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for news of the pool list, where it does not come by itself."""
+    """Subscribe to updates of the pool list, where they are not sent unasked."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """One line for the staff."""
+    """A line for the operators' log."""
 
     text: str
 
--- a/reedmount/simhost.py
+++ b/reedmount/simhost.py
@@ -1,6 +1,6 @@
-"""Bench adapter: hosts many controllers behind the bench's line protocol.
+"""Simulator adapter: hosts many controllers behind the simulator's line protocol.
 
-It parses, maps words, hands each event to its controller and writes the actions down. It decides nothing.
+It parses lines, passes each event to its controller and encodes the actions. It has no decision logic.
 """
 
 from __future__ import annotations
@@ -51,16 +51,16 @@
 ABSENT = "-"
 
 
-def whole(text: str, what: str) -> int:
-    """Read an integer, or say what was wrong."""
+def parse_int(text: str, what: str) -> int:
+    """Parse an integer; ``what`` names the value in the error."""
     try:
         return int(text)
     except ValueError:
         raise WireError(f"{what} is not a whole number: {text!r}") from None
 
 
-def number(text: str, what: str) -> float:
-    """Read a finite number, or say what was wrong."""
+def parse_float(text: str, what: str) -> float:
+    """Parse a finite number; ``what`` names the value in the error."""
     try:
         value = float(text)
     except ValueError:
@@ -70,52 +70,52 @@
     return value
 
 
-def needed(text: str, what: str) -> str:
-    """Refuse an absent value where the protocol wants one."""
+def required(text: str, what: str) -> str:
+    """The text, which must not be empty or the marker for an absent value."""
     if text in ("", ABSENT):
         raise WireError(f"{what} is missing")
     return text
 
 
 def optional(text: str) -> str | None:
-    """Map the wire's mark of absence to None."""
+    """The text, or None for the marker for an absent value."""
     return None if text in ("", ABSENT) else text
 
 
-def yes_no(text: str, what: str) -> bool:
-    """Read 1 or 0."""
+def parse_bool(text: str, what: str) -> bool:
+    """Parse 1 or 0."""
     if text not in ("0", "1"):
         raise WireError(f"{what} is neither 0 nor 1: {text!r}")
     return text == "1"
 
 
-def word(table: Mapping[str, T], text: str, what: str) -> T:
-    """Look a word of the wire up."""
+def look_up(table: Mapping[str, T], text: str, what: str) -> T:
+    """Translate a word of the protocol."""
     if text not in table:
         raise WireError(f"unknown {what}: {text!r}")
     return table[text]
 
 
 def read_report(text: str) -> i.LoadReport:
-    """Read a load report; figures below zero are 'not told', unknown ones are passed over."""
-    figures: dict[str, float] = {}
+    """Parse a load report; negative values mean 'not reported', unknown ones are ignored."""
+    values: dict[str, float] = {}
     for pair in (optional(text) or "").split(","):
         if pair:
             name, colon, value = pair.partition(":")
             if not colon:
                 raise WireError(f"load report without a colon: {pair!r}")
-            figures[name] = number(value, f"load report value {name}")
-    told = {name: value for name, value in figures.items() if value >= 0}
-    wait_ms = told.get("recent_ms")
+            values[name] = parse_float(value, f"load report value {name}")
+    reported = {name: value for name, value in values.items() if value >= 0}
+    wait_ms = reported.get("recent_ms")
     return i.LoadReport(
-        free_lines=told.get("free"),
-        lines=told.get("size"),
+        free_lines=reported.get("free"),
+        lines=reported.get("size"),
         wait_us=None if wait_ms is None else round(wait_ms * 1000),
     )
 
 
 class Options:
-    """The settings that came with a start, read by path."""
+    """Settings of a start message, by path."""
 
     def __init__(self, parts: Iterable[str]) -> None:
         self._values: dict[str, str] = {}
@@ -126,150 +126,153 @@
             self._values[path] = value
 
     def text(self, path: str) -> str:
-        """A setting that must be there."""
+        """A required setting."""
         if path not in self._values:
             raise WireError(f"setting {path} is missing")
         return self._values[path]
 
-    def maybe(self, path: str) -> str | None:
-        """A setting that may be left out."""
+    def find(self, path: str) -> str | None:
+        """An optional setting."""
         return self._values.get(path)
 
-    def whole(self, path: str) -> int:
-        """A whole number."""
-        return round(number(self.text(path), f"setting {path}"))
+    def parse_int(self, path: str) -> int:
+        """A required setting as an integer."""
+        return round(parse_float(self.text(path), f"setting {path}"))
 
-    def number(self, path: str) -> float:
-        """A number."""
-        return number(self.text(path), f"setting {path}")
+    def parse_float(self, path: str) -> float:
+        """A required setting as a number."""
+        return parse_float(self.text(path), f"setting {path}")
 
     def flag(self, path: str) -> bool:
-        """True or false; a permission that is not named is not given."""
+        """A boolean setting; a permission that is absent is not granted."""
         return self._values.get(path) == "true"
 
     def count(self, path: str) -> int:
-        """The length of a list; one that is not named is empty."""
-        text = self.maybe(f"{path}.count")
-        return 0 if text is None else whole(text, f"setting {path}.count")
+        """The length of a list; an absent list is empty."""
+        text = self.find(f"{path}.count")
+        return 0 if text is None else parse_int(text, f"setting {path}.count")
 
 
 def read_class(options: Options, index: int) -> i.CallClass:
-    """Read one class of calls."""
+    """Parse one class of calls."""
     path = f"classes.{index}."
-    pools = options.maybe(f"specifics.pools_by_class.{index}")
+    pools = options.find(f"specifics.pools_by_class.{index}")
     return i.CallClass(
         name=options.text(path + "name"),
-        worth=options.number(path + "worth"),
-        late_share=options.number(path + "late_share"),
-        target_us=options.whole(path + "target"),
-        give_up_us=options.whole(path + "deadline"),
-        effect=word(EFFECTS, options.text(path + "effect"), "effect"),
-        servers=tuple(whole(item, "pool number") for item in pools.split(",") if item) if pools else None,
+        worth=options.parse_float(path + "worth"),
+        late_share=options.parse_float(path + "late_share"),
+        target_us=options.parse_int(path + "target"),
+        give_up_us=options.parse_int(path + "deadline"),
+        effect=look_up(EFFECTS, options.text(path + "effect"), "effect"),
+        servers=tuple(parse_int(item, "pool number") for item in pools.split(",") if item) if pools else None,
     )
 
 
-def longest_pause(options: Options) -> float:
-    """The longest time to stay away that callers heed; 0 where they are told none."""
+def read_max_retry_after(options: Options) -> float:
+    """The longest retry time that callers respect; 0 where none may be sent."""
     if not options.flag("allowed.retry_after"):
         return 0.0
-    told = options.maybe("allowed.max_retry_after")
-    return math.inf if told is None else number(told, "setting allowed.max_retry_after")
+    limit = options.find("allowed.max_retry_after")
+    return math.inf if limit is None else parse_float(limit, "setting allowed.max_retry_after")
 
 
 def read_settings(parts: Iterable[str]) -> i.Settings:
-    """Read what a site tells a proxy at its start."""
+    """Parse the settings of a site."""
     options = Options(parts)
     return i.Settings(
-        instances=options.whole("balancers"),
+        instances=options.parse_int("balancers"),
         classes=tuple(read_class(options, index) for index in range(options.count("classes"))),
         tenants=tuple(
-            i.Tenant(options.text(f"tenants.{n}.name"), options.number(f"tenants.{n}.quota_per_s"))
+            i.Tenant(options.text(f"tenants.{n}.name"), options.parse_float(f"tenants.{n}.quota_per_s"))
             for n in range(options.count("tenants"))
         ),
-        over_quota_share=options.number("over_share_worth"),
-        resend_gap_us=options.whole("specifics.retransmit"),
-        release_wait_us=options.whole("specifics.clear_wait"),
-        cold_us=options.whole("rules.cold"),
-        cold_start_share=options.number("rules.start_capacity"),
-        fall_multiple=options.number("rules.fall_multiple"),
-        fall_span_us=options.whole("rules.tip_after"),
-        max_attempts=options.whole("allowed.max_attempts"),
+        over_quota_share=options.parse_float("over_share_worth"),
+        resend_gap_us=options.parse_int("specifics.retransmit"),
+        release_wait_us=options.parse_int("specifics.clear_wait"),
+        cold_us=options.parse_int("rules.cold"),
+        cold_start_share=options.parse_float("rules.start_capacity"),
+        fall_multiple=options.parse_float("rules.fall_multiple"),
+        fall_span_us=options.parse_int("rules.tip_after"),
+        max_attempts=options.parse_int("allowed.max_attempts"),
         may_cancel=options.flag("allowed.cancel"),
         redials_marked=options.flag("clients.marks_retry"),
         subscribe=options.text("discovery") == "on_request",
-        max_retry_after_us=longest_pause(options),
+        max_retry_after_us=read_max_retry_after(options),
     )
 
 
 def read_call(values: list[str]) -> i.NewCall:
-    """ACCEPT."""
-    call, _, _, tenant, subject, until, category, called, attrs, _ = values
-    bits = 0 if optional(attrs) is None else whole(attrs, "attrs")
+    """Parse ACCEPT."""
+    call, _, _, tenant, called_number, valid_until, class_name, called_node, attrs, _ = values
+    bits = 0 if optional(attrs) is None else parse_int(attrs, "attrs")
     return i.NewCall(
-        call=whole(call, "request_id"),
-        call_class=needed(category, "category"),
+        call=parse_int(call, "request_id"),
+        call_class=required(class_name, "category"),
         tenant=optional(tenant),
-        number=optional(subject),
-        first_choice=None if optional(called) is None else whole(called, "called_node"),
-        answer_by_us=whole(until, "valid_until"),
+        number=optional(called_number),
+        first_choice=None if optional(called_node) is None else parse_int(called_node, "called_node"),
+        answer_by_us=parse_int(valid_until, "valid_until"),
         redialled=bool(bits & REDIALLED),
         was_cut=bool(bits & WAS_CUT),
     )
 
 
-def read_stands(values: list[str]) -> i.CallEstablished:
-    """BEGUN."""
-    call, copy, server, spent = values
+def read_established(values: list[str]) -> i.CallEstablished:
+    """Parse BEGUN."""
+    call, attempt_number, server, elapsed = values
     return i.CallEstablished(
-        whole(call, "request_id"), whole(copy, "copy"), needed(server, "server"), whole(spent, "spent")
+        parse_int(call, "request_id"),
+        parse_int(attempt_number, "copy"),
+        required(server, "server"),
+        parse_int(elapsed, "spent"),
     )
 
 
 def read_ended(values: list[str]) -> i.AttemptEnded:
-    """RESPONSE."""
-    call, server, verdict, copy, finished, spent, cause, usage = values
-    bits = 0 if optional(cause) is None else whole(cause, "cause")
+    """Parse RESPONSE."""
+    call, server, result, attempt_number, finished, elapsed, cause, usage = values
+    bits = 0 if optional(cause) is None else parse_int(cause, "cause")
     return i.AttemptEnded(
-        call=whole(call, "request_id"),
-        attempt=whole(copy, "copy"),
-        server=needed(server, "server"),
-        outcome=word(OUTCOMES, verdict, "verdict"),
-        closed=yes_no(finished, "finished"),
-        delay_us=whole(spent, "spent"),
+        call=parse_int(call, "request_id"),
+        attempt=parse_int(attempt_number, "copy"),
+        server=required(server, "server"),
+        outcome=look_up(OUTCOMES, result, "verdict"),
+        closed=parse_bool(finished, "finished"),
+        delay_us=parse_int(elapsed, "spent"),
         cause=CAUSES.get(bits % CAUSE_BITS, i.Cause.OTHER),
         report=read_report(usage),
     )
 
 
-def read_gone(values: list[str]) -> i.CallerAbandoned:
-    """EXPIRED."""
-    return i.CallerAbandoned(whole(values[0], "request_id"))
+def read_abandoned(values: list[str]) -> i.CallerAbandoned:
+    """Parse EXPIRED."""
+    return i.CallerAbandoned(parse_int(values[0], "request_id"))
 
 
 def read_timer(values: list[str]) -> i.TimerFired:
-    """REMINDER."""
-    return i.TimerFired(needed(values[0], "handle"))
+    """Parse REMINDER."""
+    return i.TimerFired(required(values[0], "handle"))
 
 
 def read_probed(values: list[str]) -> i.LoadReports:
-    """PONG."""
-    spent, verdict, server, usage = values
-    whole(spent, "spent")
-    word(OUTCOMES, verdict, "verdict")
-    return i.LoadReports(((needed(server, "server"), read_report(usage)),))
+    """Parse PONG."""
+    elapsed, result, server, usage = values
+    parse_int(elapsed, "spent")
+    look_up(OUTCOMES, result, "verdict")
+    return i.LoadReports(((required(server, "server"), read_report(usage)),))
 
 
 def read_note(values: list[str]) -> i.PeerNote:
-    """MAIL. No note is sent, so none is decoded."""
+    """Parse MAIL. The controllers send no notes, so the content is not decoded."""
     sender, content = values
-    return i.PeerNote(whole(sender, "origin_peer"), content.encode())
+    return i.PeerNote(parse_int(sender, "origin_peer"), content.encode())
 
 
 READERS: dict[str, tuple[int, Callable[[list[str]], i.Event]]] = {
     "ACCEPT": (10, read_call),
-    "BEGUN": (4, read_stands),
+    "BEGUN": (4, read_established),
     "RESPONSE": (8, read_ended),
-    "EXPIRED": (1, read_gone),
+    "EXPIRED": (1, read_abandoned),
     "REMINDER": (1, read_timer),
     "PONG": (4, read_probed),
     "MAIL": (2, read_note),
@@ -277,7 +280,7 @@
 
 
 def encode(action: i.Action) -> str:
-    """Write one action as a line of the wire."""
+    """Encode an action as a line of the protocol."""
     match action:
         case i.SendSetup(call, server, give_up):
             parts: tuple[object, ...] = ("PASS_ON", call, server, give_up)
@@ -297,7 +300,7 @@
 
 
 class Host:
-    """Reads batches, feeds the controllers and replies."""
+    """Reads batches of events, passes them to the controllers and writes the replies."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._source = source
@@ -307,50 +310,50 @@
         self._controllers: dict[int, Controller] = {}
 
     def run(self) -> None:
-        """Serve batches until the input ends, also where it ends inside one."""
-        while (line := self._next()) is not None:
+        """Process batches until the end of input, which may fall inside a batch."""
+        while (line := self._next_line()) is not None:
             values = line.split("\t")
             if values[0] != "MARK" or len(values) != 2:
                 raise WireError(f"expected MARK and a clock, got {line!r}")
-            reply = self._batch(whole(values[1], "clock"))
+            reply = self._read_batch(parse_int(values[1], "clock"))
             if reply is None:
                 return
             self._sink.write("".join(item + "\n" for item in [*reply, "READY"]))
             self._sink.flush()
 
-    def complain(self, error: WireError) -> str:
-        """The one message for a malformed line."""
+    def describe(self, error: WireError) -> str:
+        """The error message for a malformed line."""
         return f"simhost: line {self._line}: {error}"
 
-    def _next(self) -> str | None:
+    def _next_line(self) -> str | None:
         raw = self._source.readline()
         if not raw:
             return None
         self._line += 1
         return raw.rstrip("\n")
 
-    def _batch(self, now: int) -> list[str] | None:
+    def _read_batch(self, now: int) -> list[str] | None:
         reply: list[str] = []
         chosen: int | None = None
-        speaking: int | None = None
-        while (line := self._next()) is not None:
+        reply_from: int | None = None
+        while (line := self._next_line()) is not None:
             values = line.split("\t")
             verb, values = values[0], values[1:]
             if verb == "OVER_TO_YOU":
                 return reply
             if verb == "SELECT":
                 self._expect(verb, values, 1)
-                chosen = whole(values[0], "proxy")
+                chosen = parse_int(values[0], "proxy")
             elif verb == "TABLE":
-                if not self._table(values):
+                if not self._read_table(values):
                     return None
             elif chosen is None:
                 raise WireError(f"{verb} before any SELECT")
             else:
-                lines = self._event(now, chosen, verb, values)
-                if lines and speaking != chosen:
+                lines = self._dispatch(now, chosen, verb, values)
+                if lines and reply_from != chosen:
                     reply.append(f"FROM\t{chosen}")
-                    speaking = chosen
+                    reply_from = chosen
                 reply.extend(lines)
         return None
 
@@ -359,36 +362,36 @@
         if len(values) != count:
             raise WireError(f"{verb} has {len(values)} values, not {count}")
 
-    def _table(self, values: list[str]) -> bool:
+    def _read_table(self, values: list[str]) -> bool:
         self._expect("TABLE", values, 2)
-        sheet, count = whole(values[0], "sheet"), whole(values[1], "items")
+        list_id, count = parse_int(values[0], "sheet"), parse_int(values[1], "items")
         entries: list[i.ServerEntry] = []
         for _ in range(count):
-            line = self._next()
+            line = self._next_line()
             if line is None:
                 return False
             parts = line.split("\t")
             if parts[0] != "M":
-                raise WireError(f"expected an M line of list {sheet}, got {line!r}")
+                raise WireError(f"expected an M line of list {list_id}, got {line!r}")
             self._expect("M", parts[1:], 7)
-            server, state, _, _, point, launched, _ = parts[1:]
+            server, state, _, _, point_code, started, _ = parts[1:]
             entries.append(
                 i.ServerEntry(
-                    server=needed(server, "server"),
-                    number=whole(point, "point_code"),
-                    state=word(STATES, state, "stage_state"),
-                    started_us=0 if optional(launched) is None else whole(launched, "launched"),
+                    server=required(server, "server"),
+                    number=parse_int(point_code, "point_code"),
+                    state=look_up(STATES, state, "stage_state"),
+                    started_us=0 if optional(started) is None else parse_int(started, "launched"),
                 )
             )
-        self._lists[sheet] = tuple(entries)
+        self._lists[list_id] = tuple(entries)
         return True
 
-    def _event(self, now: int, chosen: int, verb: str, values: list[str]) -> list[str]:
+    def _dispatch(self, now: int, chosen: int, verb: str, values: list[str]) -> list[str]:
         if verb == "BOOT":
             if not values:
                 raise WireError("BOOT has no salt")
-            seed, settings = whole(values[0], "salt"), read_settings(values[1:])
-            return self._guard(lambda: self._start(chosen, settings, seed))
+            seed, settings = parse_int(values[0], "salt"), read_settings(values[1:])
+            return self._run_guarded(lambda: self._start(chosen, settings, seed))
         if verb == "HALT":
             self._expect(verb, values, 0)
             self._controllers.pop(chosen, None)
@@ -396,7 +399,7 @@
         event = self._read(verb, values)
         if chosen not in self._controllers:
             raise WireError(f"{verb} for proxy {chosen}, which has not started")
-        return self._guard(lambda: self._controllers[chosen].handle(now, event))
+        return self._run_guarded(lambda: self._controllers[chosen].handle(now, event))
 
     def _start(self, chosen: int, settings: i.Settings, seed: int) -> list[i.Action]:
         self._controllers[chosen] = Controller(settings, seed)
@@ -404,30 +407,30 @@
 
     def _read(self, verb: str, values: list[str]) -> i.Event:
         if verb == "TOPOLOGY":
-            return self._news(values)
+            return self._read_list(values)
         if verb not in READERS:
             raise WireError(f"unknown message {verb!r}")
         count, reader = READERS[verb]
         self._expect(verb, values, count)
         return reader(values)
 
-    def _news(self, values: list[str]) -> i.ServerList:
+    def _read_list(self, values: list[str]) -> i.ServerList:
         self._expect("TOPOLOGY", values, 3)
-        version = whole(values[0], "gen")
-        kind = word(LIST_KINDS, values[1], "mode")
+        version = parse_int(values[0], "gen")
+        kind = look_up(LIST_KINDS, values[1], "mode")
         if kind is i.ListKind.FAILED:
             return i.ServerList(version, kind, ())
-        sheet = whole(values[2], "sheet")
-        if sheet not in self._lists:
-            raise WireError(f"list {sheet} was never declared")
-        return i.ServerList(version, kind, self._lists[sheet])
+        list_id = parse_int(values[2], "sheet")
+        if list_id not in self._lists:
+            raise WireError(f"list {list_id} was never declared")
+        return i.ServerList(version, kind, self._lists[list_id])
 
     @staticmethod
-    def _guard(step: Callable[[], Iterable[i.Action]]) -> list[str]:
-        """An exception in the decisions is reported on the wire, never as a traceback."""
+    def _run_guarded(step: Callable[[], Iterable[i.Action]]) -> list[str]:
+        """Report an exception of a controller on the wire, not as a traceback."""
         try:
             return [encode(action) for action in step()]
-        except Exception as error:  # noqa: BLE001 - whatever the module raises ends the day
+        except Exception as error:  # noqa: BLE001 - any exception of the controller is reported
             return ["GIVE_IN\t" + " ".join(f"{type(error).__name__}: {error}".split())]
 
 
@@ -437,10 +440,10 @@
     try:
         host.run()
     except WireError as error:
-        print(host.complain(error), file=sys.stderr)
+        print(host.describe(error), file=sys.stderr)
         return 1
     except UnicodeDecodeError:
-        print(host.complain(WireError("not UTF-8 text")), file=sys.stderr)
+        print(host.describe(WireError("not UTF-8 text")), file=sys.stderr)
         return 1
     return 0
 
--- a/standins/fleet/exchange.py
+++ b/standins/fleet/exchange.py
@@ -33,7 +33,7 @@
             age_ms=(now_us - server.reading_at_us) // 1000,
             state=ListState.SERVING if server.serving else ListState.DRAINING,
             window=round(100 * server.window),
-            delay_us=round(server.gauge_us),
+            delay_us=round(server.mean_wait_us),
             rest_ms=max(0, server.hold_off_until_us - now_us) // 1000 if server.flagged else 0,
         )
         for server in instance.module._servers.values()
@@ -57,7 +57,7 @@
     if server is None or server.reading_at_us >= 0 or belief.window is None or belief.delay_us is None:
         return False
     server.window = max(1.0, belief.window)
-    server.gauge_us, server.reading_us, server.reading_at_us = belief.delay_us, belief.delay_us, now_us
+    server.mean_wait_us, server.reading_us, server.reading_at_us = belief.delay_us, belief.delay_us, now_us
     if belief.flagged_until is not None:
         server.flagged, server.hold_off_until_us = True, micros(belief.flagged_until)
     return True
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -87,7 +87,7 @@
     host = simhost.Host(io.StringIO("".join(line + "\n" for line in lines)), io.StringIO())
     with pytest.raises(simhost.WireError) as caught:
         host.run()
-    assert fault in host.complain(caught.value)
+    assert fault in host.describe(caught.value)
 
 
 def test_the_process_prints_one_plain_line_and_fails() -> None:
