--- a/reedmount/core/__init__.py
+++ b/reedmount/core/__init__.py
@@ -1,1 +1,1 @@
-"""What the border controller is without any wire: calls, attempts, the pool and the module's host."""
+"""The protocol-independent core: calls, attempts, the pool and the host of the decision module."""
--- a/reedmount/core/actors.py
+++ b/reedmount/core/actors.py
@@ -1,4 +1,4 @@
-"""What schedules work: timers, work that is ready, and actors, generators that wait for their mailbox."""
+"""Scheduling: timers, callbacks that are ready, and actors, which are generators reading from a mailbox."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 T = TypeVar("T")
 
 
-def _nothing() -> None:
-    """What a timer does that was cancelled."""
+def _no_operation() -> None:
+    """The work of a cancelled timer."""
 
 
 class Timer:
-    """Something to be done at an instant, unless it is cancelled before."""
+    """Work to be done at an instant unless it is cancelled first."""
 
     __slots__ = ("at", "cancelled", "order", "work")
 
@@ -29,16 +29,16 @@
         self.at, self.order, self.work, self.cancelled = at, order, work, False
 
     def __lt__(self, other: Timer) -> bool:
-        """The earlier first; of one instant, the one set first."""
+        """Order by instant, then by the order in which the timers were set."""
         return (self.at, self.order) < (other.at, other.order)
 
     def cancel(self) -> None:
-        """Don't do it, and let go of what it would have been done with."""
-        self.cancelled, self.work = True, _nothing
+        """Cancel the timer and drop the reference to its work."""
+        self.cancelled, self.work = True, _no_operation
 
 
 class Scheduler:
-    """One process, one thread: timers and work that is ready. Whoever waits for descriptors turns it."""
+    """Timers and ready callbacks of a single-threaded event loop; the subclass waits for descriptors."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -46,26 +46,26 @@
         self._timers: list[Timer] = []
         self._ready: deque[Callable[[], None]] = deque()
         self.trace = Trace(clock, self.call_soon)
-        self._order = 0
-        self.retained: object = None  # what must live as long as the loop
+        self._last_order = 0
+        self.retained: object = None  # keeps an object alive as long as the loop
 
     def call_soon(self, work: Callable[[], None]) -> None:
-        """Do it in this turn, after what is ready already."""
+        """Run the callback in this turn of the loop, after those already queued."""
         self._ready.append(work)
 
     def call_at(self, instant: datetime, work: Callable[[], None]) -> Timer:
-        """Do it at an instant."""
-        self._order += 1
-        timer = Timer(instant, self._order, work)
+        """Run the callback at an instant."""
+        self._last_order += 1
+        timer = Timer(instant, self._last_order, work)
         heapq.heappush(self._timers, timer)
         return timer
 
-    def call_later(self, span: timedelta, work: Callable[[], None]) -> Timer:
-        """Do it after a span."""
-        return self.call_at(self.clock.now() + span, work)
+    def call_later(self, delay: timedelta, work: Callable[[], None]) -> Timer:
+        """Run the callback after a delay."""
+        return self.call_at(self.clock.now() + delay, work)
 
     def _run_timers(self) -> bool:
-        """Do what is due; whether there was anything."""
+        """Run all timers that are due; returns whether there were any."""
         busy = False
         now = self.clock.now()
         while self._timers and self._timers[0].at <= now:
@@ -76,11 +76,11 @@
         return busy
 
     @staticmethod
-    def run_safely(work: Callable[..., None], *on: object) -> None:
-        """An error in one piece of work is counted and told; a debug build stops there."""
+    def run_safely(work: Callable[..., None], *args: object) -> None:
+        """Run a callback; an error is counted and logged, and raised in a debug build."""
         try:
-            work(*on)
-        except Exception:  # noqa: BLE001 - a fault must cost one call, not the node
+            work(*args)
+        except Exception:  # noqa: BLE001 - a fault may cost one call, but not the process
             if __debug__:
                 raise
             COUNTERS.add("faults")
@@ -88,7 +88,7 @@
 
 
 class Mailbox(Generic[T]):
-    """What an actor has been sent and has not looked at yet."""
+    """A queue of items for an actor."""
 
     def __init__(self, loop: Scheduler) -> None:
         self._loop = loop
@@ -96,11 +96,11 @@
         self._waiter: Callable[[T], None] | None = None
 
     def __len__(self) -> int:
-        """How many items wait."""
+        """The number of queued items."""
         return len(self._items)
 
     def post(self, item: T) -> None:
-        """Send the actor something; it looks at it in this turn of the loop."""
+        """Queue an item; the actor processes it in this turn of the loop."""
         self._items.append(item)
         if len(self._items) == 1:
             self._loop.call_soon(self._wake)
@@ -111,13 +111,13 @@
         return item
 
     def await_item(self, waiter: Callable[[T], None]) -> None:
-        """Have the next item handed over."""
+        """Pass the next item to a callback."""
         self._waiter = waiter
         if self._items:
             self._loop.call_soon(self._wake)
 
     def close(self) -> None:
-        """Nobody looks at it any more."""
+        """Drop the queued items and accept no reader any more."""
         self._waiter = None
         self._items.clear()
 
@@ -127,42 +127,42 @@
             waiter(self._items.popleft())
 
 
-def _passed_over(_: object) -> None:
-    """What becomes of an item that comes after the end."""
+def _ignore(_: object) -> None:
+    """The handler of a stopped actor: it ignores late items."""
 
 
 Script = Generator[Mailbox[Any], Any, None]
 
 
 class Actor(Generic[T]):
-    """A mailbox and a generator that lives on what comes into it."""
+    """A mailbox and a generator that processes its items one by one."""
 
     def __init__(self, loop: Scheduler, handle: Callable[[T], None]) -> None:
         self._loop = loop
         self.mailbox: Mailbox[T] = Mailbox(loop)
         self._handle = handle
-        self._script = self._live()
+        self._script = self._process_items()
         self._step(None)
 
     def post(self, item: T) -> None:
-        """Send it something."""
+        """Queue an item for this actor."""
         self.mailbox.post(item)
 
     @property
     def pending(self) -> bool:
-        """Whether there is something it has not looked at yet."""
+        """Whether items are queued."""
         return bool(self.mailbox)
 
     def stop(self) -> None:
-        """It has nothing more to do; what it is amid it finishes."""
+        """Stop the actor after the item that it is processing."""
         self._loop.call_soon(self._end)
 
     def _end(self) -> None:
         self.mailbox.close()
         self._script.close()
-        self._handle = _passed_over
+        self._handle = _ignore
 
-    def _live(self) -> Script:
+    def _process_items(self) -> Script:
         while True:
             item = yield from self.mailbox.take()
             Scheduler.run_safely(self._handle, item)
--- a/reedmount/core/background.py
+++ b/reedmount/core/background.py
@@ -1,9 +1,8 @@
-"""Work that may wait: probes, gossip, sweeps, catching up. It never delays a call, and is never forgotten.
+"""Deferred work: probes, gossip, sweeps, catching up. It never delays a call and is never starved.
 
-A turn of the loop does what descriptors, timers and mailboxes bring, and only then what is here: by urgency,
-within a budget that is smaller in a turn in which there was other work. What has waited for longer than it
-may goes first; one slice is done in every turn, however busy. Long work is a generator: it yields between
-slices.
+A turn of the loop first handles descriptors, timers and mailboxes, and only then runs jobs: by urgency and
+within a time budget, which is smaller if the turn had other work. Jobs past their maximum delay go first;
+one slice runs in every turn, however busy. Long work is a generator that yields between slices.
 """
 
 from __future__ import annotations
@@ -16,25 +15,25 @@
 from reedmount.core.actors import Scheduler, Timer
 from reedmount.core.checks import COUNTERS, invariant
 
-BUDGET = timedelta(milliseconds=2)  # a turn with nothing else to do
-BUSY_BUDGET = timedelta(microseconds=300)  # a turn in which calls had something to do
-MAX_JOBS = 4096  # that wait at once, all kinds together
+BUDGET = timedelta(milliseconds=2)  # in a turn with no other work
+BUSY_BUDGET = timedelta(microseconds=300)  # in a turn that processed calls
+MAX_JOBS = 4096  # waiting at once, of all kinds together
 
 Slices = Generator[None, None, None]
 Work = Callable[[], Slices | None]
 
 
 class Urgency(IntEnum):
-    """What goes first where there is not time for all."""
+    """Order of jobs when there is not enough time for all."""
 
-    PROBE = 0  # others judge us by how soon we answer
+    PROBE = 0  # peers judge this instance by the time that it takes to answer
     UPDATE = 1
     SWEEP = 2
     CATCH_UP = 3
 
 
 class Job:
-    """One piece of work that waits or is under way."""
+    """A job that is waiting or in progress."""
 
     __slots__ = ("_end", "latest", "name", "over", "running", "slices", "urgency", "work")
 
@@ -42,22 +41,22 @@
         self, name: str, urgency: Urgency, latest: datetime, work: Work, end: Callable[[], None]
     ) -> None:
         self.name, self.urgency, self.work = name, urgency, work
-        self.latest = latest  # from then on it gets a slice in every turn
+        self.latest = latest  # from this instant on it gets a slice in every turn
         self.slices: Slices | None = None
         self.over = self.running = False
         self._end = end
 
     def cancel(self) -> None:
-        """Don't begin it, or don't go on with it; what is over stays so."""
+        """Cancel the job before or between its slices; no effect if it has ended."""
         if not self.over:
-            self.over = True  # both heaps let it go where it comes up
+            self.over = True  # both heaps drop it when it reaches their top
             self._end()
             if self.slices is not None and not self.running:
                 self.slices.close()
 
 
 class Repeated:
-    """Work that is done again and again, each time so long after it was finished."""
+    """Work repeated at a fixed interval after each end."""
 
     def __init__(
         self, background: Background, name: str, span: timedelta, work: Work, urgency: Urgency
@@ -70,7 +69,7 @@
         self._wait()
 
     def stop(self) -> None:
-        """Not again."""
+        """Cancel the current round and all further ones."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -81,80 +80,80 @@
         self._timer = self._background.loop.call_later(self.span, self._due)
 
     def _due(self) -> None:
-        self._job = self._background.add(self._name, self._whole, self._urgency, self.span)
+        self._job = self._background.add(self._name, self._run_once, self._urgency, self.span)
         if self._job is None:
             self._wait()
 
-    def _whole(self) -> Slices:
+    def _run_once(self) -> Slices:
         try:
             slices = self._work()
             if slices is not None:
                 yield from slices
-        finally:  # a fault costs one round, not all that were to come
+        finally:  # a fault costs one round, not the following ones
             if not self._stopped:
                 self._wait()
 
 
 class Background:
-    """The jobs of one loop. It owns those that wait; one that is over, cancelled or failed is let go of."""
+    """The waiting jobs of one loop. A job that has ended, failed or been cancelled is dropped."""
 
     def __init__(self, loop: Scheduler) -> None:
         self.loop = loop
         self._heap: list[tuple[Urgency, int, Job]] = []
         self._overdue: list[tuple[datetime, int, Job]] = []  # the same jobs, by their latest instant
-        self._order = 0
+        self._last_order = 0
         self._count = 0
 
     @property
     def waiting(self) -> bool:
-        """Whether there is something to do."""
+        """Whether any job is waiting."""
         return self._count > 0
 
     def add(self, name: str, work: Work, urgency: Urgency, max_delay: timedelta) -> Job | None:
-        """Do it when there is time, and after ``patience`` whether there is or not.
+        """Add a job to run when there is time, or after ``max_delay`` at the latest.
 
-        ``name`` is what it is counted by (``background.NAME.*``). None where too much waits already: the
-        caller does without, and it is counted.
+        ``name`` is the part of the counters' names that tells jobs apart (``background.NAME.*``). Returns
+        None and counts it if too many jobs are waiting; the caller must do without.
         """
         if self._count >= MAX_JOBS:
             COUNTERS.add("background.no_room")
             return None
         now = self.loop.clock.now()
-        job = Job(name, urgency, now + max_delay, work, self._let_go)
+        job = Job(name, urgency, now + max_delay, work, self._job_ended)
         self._count += 1
-        self._order += 1
-        heapq.heappush(self._heap, (job.urgency, self._order, job))
-        heapq.heappush(self._overdue, (job.latest, self._order, job))
+        self._last_order += 1
+        heapq.heappush(self._heap, (job.urgency, self._last_order, job))
+        heapq.heappush(self._overdue, (job.latest, self._last_order, job))
         return job
 
     def every(self, name: str, span: timedelta, work: Work, urgency: Urgency) -> Repeated:
-        """Do it again and again, ``span`` after each end."""
+        """Repeat work, each time ``span`` after the previous round ended."""
         return Repeated(self, name, span, work, urgency)
 
     def run(self, busy: bool) -> bool:
-        """Do what fits into this turn; whether there was anything."""
+        """Run the jobs that fit into this turn; returns whether there were any."""
         if not self._count:
             return False
         clock = self.loop.clock
         began = clock.now()
         end = began + (BUSY_BUDGET if busy else BUDGET)
-        did = False
+        ran_any = False
         while (job := self._next(began)) is not None:
             before = clock.now()
             if job.slices is None and before > job.latest:
                 COUNTERS.add(f"background.{job.name}.late")
             self._slice(job)
-            did = True
+            ran_any = True
             now = clock.now()
             COUNTERS.add(f"background.{job.name}.us", (now - before) // timedelta(microseconds=1))
             if now - before > BUDGET:
                 COUNTERS.add(f"background.{job.name}.long_slices")
             if now >= end:
                 break
-        return did
+        return ran_any
 
     def _next(self, now: datetime) -> Job | None:
-        """One that has waited too long, the oldest first; else the most urgent one."""
+        """The longest waiting job past its latest instant, else the most urgent one."""
         while self._overdue and self._overdue[0][2].over:
             heapq.heappop(self._overdue)
         while self._heap and self._heap[0][2].over:
@@ -164,25 +163,25 @@
         return self._heap[0][2] if self._heap else None
 
     def _slice(self, job: Job) -> None:
-        """Begin it, or go on with it by one slice; a fault ends it, and is told as any other."""
-        goes_on = False
+        """Run the next slice of a job; an error ends the job and is reported like any other."""
+        unfinished = False
 
         def step() -> None:
-            nonlocal goes_on
+            nonlocal unfinished
             if job.slices is None:
                 COUNTERS.add(f"background.{job.name}.runs")
                 job.slices = job.work()
             if job.slices is not None:
-                goes_on = next(job.slices, self) is None
+                unfinished = next(job.slices, self) is None
 
         job.running = True
         try:
             self.loop.run_safely(step)
         finally:
             job.running = False
-            if not goes_on:
+            if not unfinished:
                 job.cancel()
 
-    def _let_go(self) -> None:
+    def _job_ended(self) -> None:
         self._count -= 1
         invariant(self._count >= 0, "background_jobs_counted")
--- a/reedmount/core/checks.py
+++ b/reedmount/core/checks.py
@@ -1,4 +1,4 @@
-"""What must hold, and the counters: asserted in debug builds, counted in release builds (``python -O``)."""
+"""Invariants and counters. A broken invariant raises in debug builds and is counted under ``python -O``."""
 
 from __future__ import annotations
 
@@ -7,53 +7,53 @@
 
 
 class Counters:
-    """What was taken in, sent and answered, by name; printed on request and at exit."""
+    """Event counts by name; printed on request and at exit."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count something."""
+        """Increase a counter."""
         self._counts[name] += by
 
     def __getitem__(self, name: str) -> int:
-        """One count."""
+        """The value of one counter."""
         return self._counts[name]
 
     def text(self) -> str:
-        """All counters in one line, in the order of their names."""
+        """All counters in one line, sorted by name."""
         return " ".join(f"{name}={self._counts[name]}" for name in sorted(self._counts)) or "nothing counted"
 
 
 COUNTERS = Counters()
 
 
-def invariant(cond: bool, name: str) -> bool:
-    """Assert in a debug build; under -O count the breach and say so, so that a node never dies of a check.
+def invariant(condition: bool, name: str) -> bool:
+    """Check an invariant: raise in a debug build; under -O count and log it and go on.
 
-    Returns whether it holds. Not for input: what comes from outside is checked where it is read.
+    Returns whether it holds. Not for checking input, which is validated where it is read.
     """
-    if not cond:
+    if not condition:
         COUNTERS.add(f"broken.{name}")
         if __debug__:
             raise AssertionError(name)
         log(f"invariant broken: {name}", f"invariant {name}")
-    return cond
+    return condition
 
 
 LOGGED_COUNTS: Counter[str] = Counter()
 MAX_FULL_LINES = 8
-KINDS = 256
+MAX_KINDS = 256
 
 
 def log(text: str, kind: str = "") -> None:
-    """One line for the staff, on standard error.
+    """Write one line for the operators to standard error.
 
-    Of a kind that input can bring about at will only the first few are said, and then every time their number
-    has doubled: a log that grows with what comes in fills the disk.
+    Lines of a ``kind`` that input can cause at will are limited to the first few, then to one each time their
+    number has doubled: a log that grows with the input would fill the disk.
     """
     if kind:
-        if kind not in LOGGED_COUNTS and len(LOGGED_COUNTS) >= KINDS:
+        if kind not in LOGGED_COUNTS and len(LOGGED_COUNTS) >= MAX_KINDS:
             kind = "other"
         LOGGED_COUNTS[kind] += 1
         count = LOGGED_COUNTS[kind]
--- a/reedmount/core/clock.py
+++ b/reedmount/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock. Instants are datetimes, spans timedeltas; the module's microseconds are made here only."""
+"""The process clock. Instants are datetimes, spans timedeltas; only here are they converted to integers."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 
 class Clock:
-    """Unix time, read once at the start and carried on by the monotonic clock: it never jumps."""
+    """Unix time, read once at the start and advanced by the monotonic clock, so that it never jumps."""
 
     def __init__(
         self, unix: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
     ) -> None:
         self._steady = steady
-        self._zero = steady()
+        self._steady_start = steady()
         self._anchor = EPOCH + timedelta(seconds=unix())
 
     def now(self) -> datetime:
-        """The time."""
-        return self._anchor + timedelta(seconds=self._steady() - self._zero)
+        """The current time."""
+        return self._anchor + timedelta(seconds=self._steady() - self._steady_start)
 
 
 def micros(instant: datetime) -> int:
-    """An instant as the module counts it: microseconds of Unix time."""
+    """An instant in microseconds of Unix time, as the decision module uses it."""
     return (instant - EPOCH) // MICROSECOND
 
 
 def span_micros(span: timedelta) -> int:
-    """A span as the module counts it."""
+    """A span in microseconds, as the decision module uses it."""
     return span // MICROSECOND
 
 
 def span(count: int) -> timedelta:
-    """A span of the module's microseconds."""
+    """The span of a number of microseconds."""
     return timedelta(microseconds=count)
 
 
 def millis(count: float) -> timedelta:
-    """A span of the wire's milliseconds."""
+    """The span of a number of milliseconds, as on the wire."""
     return timedelta(milliseconds=count)
 
 
 def whole_millis(length: timedelta) -> int:
-    """A span in the wire's milliseconds, rounded up: a wait told too short would be broken."""
+    """A span in milliseconds for the wire, rounded up: a shorter wait than the real one must not be sent."""
     return -(-length // timedelta(milliseconds=1))
--- a/reedmount/core/fault_isolation.py
+++ b/reedmount/core/fault_isolation.py
@@ -1,6 +1,6 @@
-"""The border round one message: what goes wrong while it is served ends with what it owns.
+"""Fault isolation for one message: an exception while handling it ends only what the message owns.
 
-See docs/design/second-front.md. A broken invariant crosses it: then the core's own state is in doubt.
+See docs/design/second-front.md. A broken invariant is passed on, since it puts the core's state in doubt.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 
 from reedmount.core.checks import COUNTERS, log
 
-STRICT = False  # tests of what should never go wrong set it: a fault then stops them
+STRICT = False  # set by tests that expect no faults: an exception is then raised
 
 
 def run_isolated(kind: str, serve: Callable[[], None], give_up: Callable[[], None] | None = None) -> bool:
-    """Serve one message; where that raises, count it, say it a few times, and end what the message owns.
+    """Handle one message; on an exception, count it, log the first few and end what the message owns.
 
-    ``give_up`` answers what is owed and closes; what it raises itself is contained as well. Returns whether
-    all went well.
+    ``give_up`` sends the answers that are due and closes; its own exceptions are isolated as well. Returns
+    whether the message was handled without a fault.
     """
     try:
         serve()
         return True
     except AssertionError:
-        raise  # an invariant of a debug build
+        raise  # a broken invariant in a debug build
     except Exception:
         if STRICT:
             raise
--- a/reedmount/core/ports.py
+++ b/reedmount/core/ports.py
@@ -1,4 +1,4 @@
-"""The core's ports: what fronts give it, what it gives back, and what it asks of the server side."""
+"""Interfaces between the core, the fronts that offer calls, and the server side."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from enum import Enum
 from typing import Protocol
 
-NORMAL, CUT = 16, 41  # Q.850 causes: the call came to its end, it was cut
+NORMAL, CUT = 16, 41  # Q.850 causes: normal clearing, temporary failure (the call was cut)
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A call as a front gives it; ``name`` tells it from all others and goes on unchanged."""
+    """A call offered by a front; ``name`` is its unique id and is passed on unchanged."""
 
     name: str
     call_class: str
@@ -23,60 +23,60 @@
     description: bytes
     redialled: bool = False
     was_cut: bool = False
-    caller_gives_up_at: datetime | None = None  # when its caller gives up, which is later than ``answer_by``
-    reference: str = ""  # what its caller calls it, for records
+    caller_gives_up_at: datetime | None = None  # when the caller gives up, later than ``answer_by``
+    reference: str = ""  # the caller's own id of the call, for records
 
 
 class Progress(Enum):
-    """What is told of a set-up before its final answer."""
+    """Provisional responses to a set-up."""
 
     RINGING = "ringing"
     FORWARDED = "forwarded"
     QUEUED = "queued"
     SESSION = "session progress"
-    AGAIN = "another begins"  # what was told of the attempt or far end before holds no more
+    AGAIN = "another begins"  # progress reported for the previous attempt or far end no longer applies
 
 
 class Caller(Protocol):
-    """The caller of a call, as its front shows it to the core."""
+    """The caller of a call, as presented to the core by its front."""
 
     def progressed(self, name: str, progress: Progress, description: bytes) -> None:
-        """Not final: how far the set-up has come. Fronts whose wire has no word for it say nothing."""
+        """Report progress of the set-up; fronts whose protocol cannot express it ignore it."""
 
     def answered(self, name: str, description: bytes) -> None:
-        """Final answer: the call stands."""
+        """Final answer: the call is established."""
 
     def refused(self, name: str, pause: timedelta) -> None:
-        """Final answer: refused; trying again after the pause is harmless."""
+        """Final answer: refused; a retry after the pause does no harm."""
 
     def failed(self, name: str) -> None:
         """Final answer: failed."""
 
     def released(self, name: str, cause: int) -> None:
-        """A call that stood is over."""
+        """An established call has been released."""
 
 
 class CallRecorder(Protocol):
-    """Who keeps what was promised of calls. Where there is none, nothing is, and nothing waits for it."""
+    """Records calls. Without a recorder nothing is stored, and no answer waits for it."""
 
     def call_offered(self, offer: Offer, at: datetime) -> None:
-        """A call has come."""
+        """Record that a call has come."""
 
     def call_rejected(
         self, name: str, outcome: str, attempts: int, server: str, answer: Callable[[], None]
     ) -> None:
-        """It is refused or has failed; ``answer`` tells its caller."""
+        """Record that a call was refused or failed; ``answer`` then sends the final answer."""
 
     def call_ended(self, name: str, how: str) -> None:
-        """A call that stood has come to its end."""
+        """Record that an established call has ended."""
 
     def call_forgotten(self, name: str, attempts: int, server: str) -> None:
-        """It is forgotten, whatever was said of it before."""
+        """Record that the core has dropped the call, whatever was recorded before."""
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """One attempt, as the server side is to send it."""
+    """An attempt for the server side to send."""
 
     name: str
     attempt: int
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelSetup:
-    """Word to a call server's actor: stop an attempt."""
+    """Message to a call server's actor: cancel an attempt."""
 
     name: str
     attempt: int
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Word to a call server's actor: release a call."""
+    """Message to a call server's actor: release a call."""
 
     name: str
     cause: int
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """One call server of the pool, with the address it is reached at."""
+    """A call server of the pool and its address."""
 
     server: str
     address: tuple[str, int]
@@ -119,16 +119,16 @@
 
 
 class Servers(Protocol):
-    """The server side: it sends set-ups, cancels and releases, and reports how each went."""
+    """The server side: it sends set-ups, cancels and releases, and reports the result of each attempt."""
 
     def send(self, setup: Setup) -> None:
         """Send a set-up; its end or its answer is reported exactly once."""
 
     def cancel(self, name: str, attempt: int) -> None:
-        """Stop an attempt; its end is reported once that is wholly written."""
+        """Cancel an attempt; its end is reported once the cancel is completely written."""
 
     def release(self, server: str | None, name: str, cause: int) -> None:
-        """Release a call that stands; None where it is not known which server has it."""
+        """Release an established call; ``server`` is None where it is not known which one has it."""
 
     def servers_changed(self, entries: list[ListedServer]) -> None:
-        """The pool has changed: these are the changed servers."""
+        """Apply changes of the pool; ``entries`` are the changed servers."""
--- a/reedmount/core/trace.py
+++ b/reedmount/core/trace.py
@@ -1,7 +1,8 @@
 """The event log: one line of ``key=value`` pairs for each event, so that a call can be followed by its id.
 
-An event that input can bring about at will must not fill the disk: of each name a burst is written, then so
-many a second; the next line of that name says how many were left out. Lines of one turn are written at once.
+Events that input can cause at will must not fill the disk: lines of each name are limited to a burst and
+then to a rate; the next line of that name has the number of suppressed lines. Lines of one turn of the loop
+are written together.
 """
 
 from __future__ import annotations
@@ -15,22 +16,22 @@
 from reedmount.core.clock import EPOCH, Clock
 
 BURST = 100  # lines of one name
-PER_SECOND = 20.0  # after the burst
-NAMES = 256  # of events; all are written in the program, so that this is never reached
+LINES_PER_SECOND = 20.0  # lines of one name after the burst
+MAX_NAMES = 256  # of events; a safeguard only, since all names are fixed in the program
 SECOND = timedelta(seconds=1)
 
 
 @dataclass(slots=True)
 class Allowance:
-    """How many lines of one name may still be written."""
+    """The number of lines of one name that may still be written: a token bucket."""
 
     lines: float
     at: datetime
     left_out: int = 0
 
     def take(self, now: datetime) -> bool:
-        """Whether one more may be written now."""
-        earned = (now - self.at) / SECOND * PER_SECOND
+        """Whether one more line may be written now."""
+        earned = (now - self.at) / SECOND * LINES_PER_SECOND
         self.lines, self.at = min(BURST, self.lines + earned), now
         if self.lines < 1:
             self.left_out += 1
@@ -40,21 +41,21 @@
 
 
 class Trace:
-    """Writes events; ``soon`` has something done at the end of the turn."""
+    """Writes events; ``call_soon`` schedules a callback for the end of the turn."""
 
     def __init__(
-        self, clock: Clock, soon: Callable[[Callable[[], None]], None], out: TextIO | None = None
+        self, clock: Clock, call_soon: Callable[[Callable[[], None]], None], out: TextIO | None = None
     ) -> None:
-        self._clock, self._soon, self._out = clock, soon, out
+        self._clock, self._call_soon, self._out = clock, call_soon, out
         self._allowances: dict[str, Allowance] = {}
         self._lines: list[str] = []
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Note an event; the names of fields and events are fixed, their values are ours or checked input."""
+        """Log an event. Names are fixed; values come from the program or from validated input."""
         now = self._clock.now()
         allowance = self._allowances.get(event)
         if allowance is None:
-            if len(self._allowances) >= NAMES:
+            if len(self._allowances) >= MAX_NAMES:
                 return
             allowance = self._allowances[event] = Allowance(BURST, now)
         if not allowance.take(now):
@@ -62,13 +63,13 @@
         if allowance.left_out:
             fields["left_out"], allowance.left_out = allowance.left_out, 0
         if not self._lines:
-            self._soon(self.flush)
+            self._call_soon(self.flush)
         at = (now - EPOCH).total_seconds()
-        words = [f"t={at:.3f} event={event}", *(f"{key}={value}" for key, value in fields.items())]
-        self._lines.append(" ".join(words))
+        pairs = [f"t={at:.3f} event={event}", *(f"{key}={value}" for key, value in fields.items())]
+        self._lines.append(" ".join(pairs))
 
     def flush(self) -> None:
-        """Write what waits."""
+        """Write the queued lines."""
         if self._lines:
             lines, self._lines = self._lines, []
             out = self._out or sys.stderr
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -470,13 +470,13 @@
     """28 of them told at once, each an event that goes over all held calls: turns of 0.2 s, answers late."""
     stage = Platform("a", "b", "c")
     seen: list[i.Event] = []
-    handle = stage.switch._module.handle
+    handle = stage.switch._controller.handle
 
     def noted(now: int, event: i.Event) -> list[i.Action]:
         seen.append(event)
         return handle(now, event)
 
-    stage.switch._module.handle = noted  # type: ignore[method-assign]
+    stage.switch._controller.handle = noted  # type: ignore[method-assign]
     for lines in (3.0, 5.0):  # of one server the latest word counts
         for name in "abc":
             stage.switch.load_reported(name, i.LoadReport(free_lines=lines))
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -365,7 +365,7 @@
         server expect 200 c1
         caller expect BYE c1
     """)
-    assert stage.switch.is_idle and not stage.switch._leaving
+    assert stage.switch.is_idle and not stage.switch._dropped_classes
 
 
 def test_a_message_in_single_bytes_is_cheap_and_whole(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -453,7 +453,7 @@
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n caller close reset")
     stage.play("server expect CANCEL c1")
-    assert stage.switch.is_idle and not stage.switch._module._calls
+    assert stage.switch.is_idle and not stage.switch._controller._calls
 
 
 @pytest.mark.parametrize("counted", ["answered.after_caller", "answered.overdue"])
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from reedmount.core.trace import BURST, PER_SECOND, Trace
+from reedmount.core.trace import BURST, LINES_PER_SECOND, Trace
 from tests.scenario import VirtualTime, digits
 from tests.test_platform import STANDS, Platform
 
@@ -33,7 +33,7 @@
     for number in range(BURST + 50):
         trace("call.refused", call=number)
     trace("call.stands", call="other")
-    time.seconds += 1 / PER_SECOND
+    time.seconds += 1 / LINES_PER_SECOND
     trace("call.refused", call="last")
     trace.flush()
     lines = out.getvalue().splitlines()
