--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared by the tests: plain settings, short event builders and a referee for the five rules."""
+"""Shared by the tests: plain settings, short event builders and a bench that checks the five rules."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 
 
 class Bench:
-    """One controller with a clock; keeps every action and checks the rules as they come."""
+    """One controller with a clock; records every action and checks the rules at each."""
 
     def __init__(self, settings: i.Settings = SETTINGS, seed: int = 1) -> None:
         self.settings = settings
-        self.control = Controller(settings, seed)
+        self.controller = Controller(settings, seed)
         self.now = T0
         self.log: list[tuple[int, i.Action]] = []
         self.sends: dict[int, list[i.SendSetup]] = {}
         self.out: dict[int, int] = {}
-        self.barred_until: dict[int, int] = {}
-        self.owed: dict[int, int] = {}
-        self.finals: dict[int, i.Action] = {}
-        self.gone: set[str] = set()
+        self.not_before_us: dict[int, int] = {}
+        self.awaiting_answer: dict[int, int] = {}
+        self.final_answers: dict[int, i.Action] = {}
+        self.not_serving: set[str] = set()
         self.timers: list[tuple[int, str]] = []
         self.next_call = 1
 
@@ -63,31 +63,31 @@
         if isinstance(event, i.ServerList):
             for item in event.entries:
                 if item.state is i.ServerState.SERVING:
-                    self.gone.discard(item.server)
+                    self.not_serving.discard(item.server)
                 else:
-                    self.gone.add(item.server)
+                    self.not_serving.add(item.server)
         if isinstance(event, i.NewCall):
-            self.owed[event.call] = event.answer_by_us
-        actions = self.control.handle(self.now, event)
+            self.awaiting_answer[event.call] = event.answer_by_us
+        actions = self.controller.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
-            self._referee(action)
+            self._check_rules(action)
         return actions
 
-    def _referee(self, action: i.Action) -> None:
+    def _check_rules(self, action: i.Action) -> None:
         if isinstance(action, i.SendSetup):
-            assert action.call in self.owed, "sent after its end"
+            assert action.call in self.awaiting_answer, "sent after its final answer"
             assert action.call not in self.out, "two attempts out"
-            assert self.now >= self.barred_until.get(action.call, 0), "sent before the release"
-            assert action.server not in self.gone, "sent to a drain"
+            assert self.now >= self.not_before_us.get(action.call, 0), "sent before the release wait was over"
+            assert action.server not in self.not_serving, "sent to a draining or removed server"
             assert len(self.sends.get(action.call, [])) < self.settings.max_attempts, "too many attempts"
             self.sends.setdefault(action.call, []).append(action)
             self.out[action.call] = len(self.sends[action.call]) - 1
         elif isinstance(action, (i.RefuseCall, i.FailCall)):
-            assert action.call in self.owed, "a second final answer"
-            assert action.call not in self.out, "ended with an attempt out"
-            del self.owed[action.call]
-            self.finals[action.call] = action
+            assert action.call in self.awaiting_answer, "a second final answer"
+            assert action.call not in self.out, "final answer with an attempt out"
+            del self.awaiting_answer[action.call]
+            self.final_answers[action.call] = action
         elif isinstance(action, i.SetTimer):
             self.timers.append((self.now + action.after_us, action.name))
 
@@ -106,15 +106,15 @@
         return call
 
     def where(self, call: int) -> str | None:
-        """The server at which an attempt of the call is out."""
+        """The server to which an attempt of the call is out."""
         return self.sends[call][-1].server if call in self.out else None
 
-    def stands(self, call: int, delay_us: int = 50 * MS) -> None:
+    def answer_call(self, call: int, delay_us: int = 50 * MS) -> None:
         attempt = self.out.pop(call)
-        del self.owed[call]
+        del self.awaiting_answer[call]
         self.feed(i.CallEstablished(call, attempt, self.sends[call][attempt].server, delay_us))
 
-    def ended(
+    def end_attempt(
         self,
         call: int,
         outcome: i.Outcome,
@@ -123,7 +123,7 @@
     ) -> None:
         attempt = self.out.pop(call)
         if outcome in (i.Outcome.TIMED_OUT, i.Outcome.RESET, i.Outcome.CANCELLED):
-            self.barred_until[call] = self.now + self.settings.release_wait_us
+            self.not_before_us[call] = self.now + self.settings.release_wait_us
         server = self.sends[call][attempt].server
         self.feed(i.AttemptEnded(call, attempt, server, outcome, False, 50 * MS, cause, report))
 
@@ -134,28 +134,28 @@
         free: float | None = None,
         lines: float | None = None,
     ) -> None:
-        """A load report, as it comes with the release of an old call."""
+        """Feed a load report, as it arrives with the release of an old call."""
         report = i.LoadReport(free_lines=free, lines=lines, wait_us=wait_us)
         self.feed(i.AttemptEnded(0, 0, server, i.Outcome.COMPLETED, True, S, i.Cause.NONE, report))
 
     def run_for(self, span_us: int) -> None:
-        """Let the clock run; timers fire, and attempts that run out of time time out."""
+        """Advance the clock; timers fire, and attempts past their time are timed out."""
         end = self.now + span_us
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            self.expire()
+            self.time_out_attempts()
             self.feed(i.TimerFired(timer[1]))
         self.now = end
-        self.expire()
+        self.time_out_attempts()
 
-    def expire(self) -> None:
-        for call in [call for call in self.out if self.owed[call] <= self.now]:
-            self.ended(call, i.Outcome.TIMED_OUT)
+    def time_out_attempts(self) -> None:
+        for call in [call for call in self.out if self.awaiting_answer[call] <= self.now]:
+            self.end_attempt(call, i.Outcome.TIMED_OUT)
 
     def overdue(self) -> list[int]:
-        return [call for call, due in self.owed.items() if due < self.now]
+        return [call for call, due in self.awaiting_answer.items() if due < self.now]
 
 
 def with_pool(*servers: str, seed: int = 1, **changes: object) -> Bench:
--- a/tests/test_bands.py
+++ b/tests/test_bands.py
@@ -118,7 +118,7 @@
     calls = [bench.call(first=None) for _ in range(4)]
     where = [bench.where(call) for call in calls]
     assert where[:2] == ["a", "a"] and set(where[2:]) <= {"b", "c"}, "its window is two at first"
-    bench.stands(calls[0])
+    bench.answer_call(calls[0])
     assert bench.where(bench.call(first=2)) == "a", "also where the first choice lies in a higher band"
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, one by one and over seeded random histories."""
+"""The five rules, one by one and over random histories from seeds."""
 
 from __future__ import annotations
 
@@ -16,58 +16,58 @@
     bench = Bench()
     call = bench.call(left_us=2 * S)
     bench.run_for(2 * S)
-    assert isinstance(bench.finals[call], i.RefuseCall)
+    assert isinstance(bench.final_answers[call], i.RefuseCall)
     assert max(now for now, action in bench.log if isinstance(action, i.RefuseCall)) <= T0 + 2 * S
 
 
-def test_redial_with_almost_no_time_left_is_answered_at_once() -> None:
-    """It was lost once: the next look came after its time was up."""
+def test_redial_with_less_than_a_tick_left_is_answered() -> None:
+    """Without an immediate check its time was over before the next tick, and it got no answer."""
     bench = Bench()
     call = bench.call(left_us=5 * MS, redialled=True)
-    assert call in bench.finals
+    assert call in bench.final_answers
 
 
 def test_timeout_at_the_deadline_gets_a_final_answer() -> None:
     bench = with_pool("a")
     call = bench.call(left_us=2 * S)
     bench.now += 2 * S
-    bench.ended(call, i.Outcome.TIMED_OUT)
-    assert call in bench.finals
+    bench.end_attempt(call, i.Outcome.TIMED_OUT)
+    assert call in bench.final_answers
 
 
 def test_call_that_may_not_run_twice_is_failed_not_resent() -> None:
     bench = with_pool("a", "b")
     call = bench.call(kind="once")
-    bench.ended(call, i.Outcome.TIMED_OUT)
-    assert isinstance(bench.finals[call], i.FailCall)
+    bench.end_attempt(call, i.Outcome.TIMED_OUT)
+    assert isinstance(bench.final_answers[call], i.FailCall)
 
 
 @pytest.mark.parametrize("outcome", [i.Outcome.TIMED_OUT, i.Outcome.RESET, i.Outcome.CANCELLED])
-def test_release_is_awaited(outcome: i.Outcome) -> None:
+def test_no_new_attempt_before_the_release_wait_is_over(outcome: i.Outcome) -> None:
     bench = with_pool("a", "b")
     call = bench.call(first=1)
-    bench.ended(call, outcome)
+    bench.end_attempt(call, outcome)
     bench.run_for(SETTINGS.release_wait_us - 1)
     assert len(bench.sends[call]) == 1
     bench.run_for(200 * MS)
     assert len(bench.sends[call]) == 2
 
 
-def test_full_is_tried_elsewhere_at_once() -> None:
+def test_call_refused_by_a_full_server_is_tried_elsewhere_at_once() -> None:
     bench = with_pool("a", "b")
     call = bench.call(first=1)
-    bench.ended(call, i.Outcome.FULL, i.Cause.PROCESSOR_FULL)
+    bench.end_attempt(call, i.Outcome.FULL, i.Cause.PROCESSOR_FULL)
     assert bench.where(call) == "b"
 
 
 @pytest.mark.parametrize("state", [i.ServerState.DRAINING, i.ServerState.REMOVED])
-def test_nothing_new_to_a_drain(state: i.ServerState) -> None:
+def test_no_set_up_to_a_draining_or_removed_server(state: i.ServerState) -> None:
     bench = with_pool("a", "b")
     bench.feed(pool(entry("a", state), version=2, kind=i.ListKind.CHANGES))
     assert bench.where(bench.call(first=1)) == "b"
 
 
-def test_server_missing_from_a_whole_list_is_gone() -> None:
+def test_server_missing_from_a_full_list_is_removed() -> None:
     bench = with_pool("a", "b")
     bench.feed(pool(entry("b"), version=2))
     assert bench.where(bench.call(first=1)) == "b"
@@ -80,7 +80,7 @@
     assert bench.where(bench.call(first=1)) == "b"
 
 
-def test_empty_and_failed_lists_do_no_harm() -> None:
+def test_failed_list_is_ignored_and_empty_list_removes_all_servers() -> None:
     bench = with_pool("a")
     bench.feed(i.ServerList(2, i.ListKind.FAILED, ()))
     assert bench.where(bench.call(first=1)) == "a"
@@ -96,7 +96,7 @@
 
 
 def cold_sends(fleet: list[Bench], server: str, span_us: int) -> int:
-    """The most set-ups that all proxies together sent to a server within any span of this length."""
+    """The maximum number of set-ups that all instances sent to a server within any span of this length."""
     times = [
         now
         for bench in fleet
@@ -108,38 +108,40 @@
 
 @pytest.mark.parametrize("replaced", [True, False])
 def test_cold_server_is_paced_over_any_span(replaced: bool) -> None:
-    """A restart with the same id and a replacement with a new one are paced alike."""
+    """A restart under the same id and a replacement with a new id are paced alike."""
     bench = with_pool("a", "b")
-    bench.stands(bench.call(first=2), delay_us=50 * MS)
-    fresh = "c" if replaced else "a"
-    bench.feed(pool(entry(fresh, started_us=T0), version=2, kind=i.ListKind.CHANGES))
+    bench.answer_call(bench.call(first=2), delay_us=50 * MS)
+    cold_server = "c" if replaced else "a"
+    bench.feed(pool(entry(cold_server, started_us=T0), version=2, kind=i.ListKind.CHANGES))
     for _ in range(100):
         call = bench.call(first=3 if replaced else 1)
-        if bench.where(call) == fresh:
-            bench.stands(call, delay_us=20 * MS)
+        if bench.where(call) == cold_server:
+            bench.answer_call(call, delay_us=20 * MS)
         elif bench.where(call) is not None:
-            bench.stands(call)
+            bench.answer_call(call)
         bench.run_for(50 * MS)
-    share = SETTINGS.fall_multiple * SETTINGS.cold_start_share * SETTINGS.fall_span_us / (20 * MS)
-    assert 1 <= cold_sends([bench], fresh, SETTINGS.fall_span_us) <= share / SETTINGS.instances
+    overload_setups = SETTINGS.fall_multiple * SETTINGS.cold_start_share * SETTINGS.fall_span_us / (20 * MS)
+    assert (
+        1 <= cold_sends([bench], cold_server, SETTINGS.fall_span_us) <= overload_setups / SETTINGS.instances
+    )
 
 
-def fleet_cold_sends(proxies: int, servers: int, rate: float) -> tuple[int, float]:
-    """Set-ups that a whole fleet sends to one cold server in its worst span, and what tips it.
+def fleet_cold_sends(fleet_size: int, servers: int, rate: float) -> tuple[int, float]:
+    """Set-ups that a whole fleet sends to one cold server in its worst span, and the number to overload it.
 
-    Every proxy hears of the start at the same moment and sends whatever it is asked to there.
+    Every instance learns of the start at the same moment and always has calls for the server.
     """
-    setup = replace(SETTINGS, instances=proxies)
+    site = replace(SETTINGS, instances=fleet_size)
     names = [f"w{n}" for n in range(servers - 1)]
     warm = tuple(i.ServerEntry(name, n, i.ServerState.SERVING, 0) for n, name in enumerate(names))
-    fleet = [Bench(setup, seed) for seed in range(proxies)]
-    per_proxy_us = round(S * proxies / rate)
+    fleet = [Bench(site, seed) for seed in range(fleet_size)]
+    per_instance_us = round(S * fleet_size / rate)
     for number, bench in enumerate(fleet):
         bench.feed(pool(*warm))
-        bench.now += number * per_proxy_us // proxies
-        for turn in range(12 * S // per_proxy_us):
-            bench.stands(bench.call(first=turn % len(names)), 20 * MS)
-            bench.run_for(per_proxy_us)
+        bench.now += number * per_instance_us // fleet_size
+        for turn in range(12 * S // per_instance_us):
+            bench.answer_call(bench.call(first=turn % len(names)), 20 * MS)
+            bench.run_for(per_instance_us)
         bench.now = T0 + 12 * S
         bench.feed(
             pool(
@@ -148,21 +150,21 @@
                 kind=i.ListKind.CHANGES,
             )
         )
-        for _ in range(3 * S // per_proxy_us):
+        for _ in range(3 * S // per_instance_us):
             for _ in range(3):
                 call = bench.call(first=99)
                 if bench.where(call) == "cold":
-                    bench.stands(call, 20 * MS)
-            bench.run_for(per_proxy_us)
-    tips = setup.fall_multiple * setup.cold_start_share * rate / servers * setup.fall_span_us / S
-    return cold_sends(fleet, "cold", setup.fall_span_us), tips
+                    bench.answer_call(call, 20 * MS)
+            bench.run_for(per_instance_us)
+    overload = site.fall_multiple * site.cold_start_share * rate / servers * site.fall_span_us / S
+    return cold_sends(fleet, "cold", site.fall_span_us), overload
 
 
-@pytest.mark.parametrize("proxies", [40, 280])
-def test_a_fleet_told_of_a_cold_server_does_not_push_it_over(proxies: int) -> None:
-    """One set-up for each proxy and span was 280 at once, where a hundred tip it."""
-    most, tips = fleet_cold_sends(proxies, servers=10, rate=2.5 * proxies)
-    assert 0 < most < tips
+@pytest.mark.parametrize("fleet_size", [40, 280])
+def test_a_fleet_does_not_overload_a_cold_server(fleet_size: int) -> None:
+    """One set-up per instance and span was 280 at once, where a hundred overload the server."""
+    max_sent, overload = fleet_cold_sends(fleet_size, servers=10, rate=2.5 * fleet_size)
+    assert 0 < max_sent < overload
 
 
 def test_unknown_and_ended_calls_are_ignored() -> None:
@@ -186,7 +188,7 @@
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(STEPS, st.integers(0, 5))
 def test_rules_hold_over_random_histories(steps: list[tuple[str, int]], seed: int) -> None:
-    """The referee in Bench asserts each rule at every action; the end is checked here."""
+    """Bench checks each rule at every action; here it is checked that every call gets its final answer."""
     bench = with_pool("a", "b", seed=seed)
     version = 1
     for step, number in steps:
@@ -195,7 +197,7 @@
         if step == "c":
             bench.call(("small", "great", "once")[number % 3], number % 4, (5 + 80 * number) * MS)
         elif step == "s" and pick is not None:
-            bench.stands(pick, number * 40 * MS)
+            bench.answer_call(pick, number * 40 * MS)
         elif step in "rftux" and pick is not None:
             outcome = {
                 "r": i.Outcome.RESET,
@@ -204,7 +206,7 @@
                 "u": i.Outcome.UNREACHABLE,
                 "x": i.Outcome.NOT_SENT,
             }[step]
-            bench.ended(pick, outcome, i.Cause.PROCESSOR_FULL if step == "f" else i.Cause.NONE)
+            bench.end_attempt(pick, outcome, i.Cause.PROCESSOR_FULL if step == "f" else i.Cause.NONE)
         elif step in "nl":
             version += 1
             state = tuple(i.ServerState)[number % 3]
@@ -212,26 +214,26 @@
             kind = i.ListKind.CHANGES if step == "n" else i.ListKind.WHOLE
             bench.feed(pool(entry("abc"[number % 3], state, started), version=version, kind=kind))
             if kind is i.ListKind.WHOLE:
-                bench.gone |= set("abc") - {"abc"[number % 3]}
+                bench.not_serving |= set("abc") - {"abc"[number % 3]}
         elif step == "e":
             bench.report("abc"[number % 3], wait_us=number * 50 * MS, free=float(number % 5))
-        elif step == "g" and bench.owed:
-            gone = sorted(bench.owed)[number % len(bench.owed)]
-            del bench.owed[gone]
-            bench.out.pop(gone, None)
-            bench.feed(i.CallerAbandoned(gone))
+        elif step == "g" and bench.awaiting_answer:
+            abandoned = sorted(bench.awaiting_answer)[number % len(bench.awaiting_answer)]
+            del bench.awaiting_answer[abandoned]
+            bench.out.pop(abandoned, None)
+            bench.feed(i.CallerAbandoned(abandoned))
         else:
             bench.run_for(number * 10 * MS)
         assert not bench.overdue()
     bench.run_for(10 * S)
-    assert not bench.owed
+    assert not bench.awaiting_answer
 
 
-def test_staff_are_told_of_changes_of_state_only() -> None:
+def test_only_changes_of_state_are_logged() -> None:
     bench = with_pool("a", "b")
     bench.feed(pool(entry("a", i.ServerState.DRAINING), version=2, kind=i.ListKind.CHANGES))
     bench.feed(pool(entry("a", i.ServerState.DRAINING), version=3, kind=i.ListKind.CHANGES))
     bench.feed(pool(entry("b", started_us=T0), version=4, kind=i.ListKind.CHANGES))
     bench.feed(pool(entry("b", started_us=T0), version=5, kind=i.ListKind.CHANGES))
-    told = [action.text for _, action in bench.log if isinstance(action, i.Log)]
-    assert told == ["a is draining", "b started: paced while cold"]
+    logged = [action.text for _, action in bench.log if isinstance(action, i.Log)]
+    assert logged == ["a is draining", "b started: paced while cold"]
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter on short written transcripts."""
+"""The simulator adapter, on short written transcripts."""
 
 from __future__ import annotations
 
@@ -52,14 +52,14 @@
     assert run("MARK\t1", "TABLE\t0\t2", ENTRY) == ""
 
 
-def test_list_numbers_are_taken_in_order_of_events() -> None:
+def test_lists_apply_in_the_order_of_events() -> None:
     other = "M\tserver_y\tSERVING\tstd\t1\t0\t-\tzone"
     text = run(*HEAD, ENTRY, "TOPOLOGY\t1\tfull\t0", "TABLE\t0\t1", other, "TOPOLOGY\t2\tfull\t0", CALL,
                "OVER_TO_YOU")  # fmt: skip
     assert "PASS_ON\t5\tserver_y\t" in text
 
 
-def test_a_stopped_instance_forgets_everything() -> None:
+def test_a_stopped_instance_loses_its_state() -> None:
     text = run(*START, "MARK\t2000000", "SELECT\t3", "HALT", BOOT, CALL, "OVER_TO_YOU")
     assert "PASS_ON" not in text
 
@@ -83,7 +83,7 @@
         (["MARK\t1", "SELECT\t3", "BOOT\t7\tclasses.count=0"], "setting balancers is missing"),
     ],
 )
-def test_bad_input_is_named(lines: list[str], fault: str) -> None:
+def test_bad_input_is_reported_with_its_line(lines: list[str], fault: str) -> None:
     host = simhost.Host(io.StringIO("".join(line + "\n" for line in lines)), io.StringIO())
     with pytest.raises(simhost.WireError) as caught:
         host.run()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The event log: its lines, its bounds, and that a call can be followed in it by its id."""
+"""The event log: its lines, its limits, and that a call can be followed by its id."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tests.test_platform import STANDS, Platform
 
 
-def made() -> tuple[VirtualTime, Trace, io.StringIO, list[Callable[[], None]]]:
+def make_trace() -> tuple[VirtualTime, Trace, io.StringIO, list[Callable[[], None]]]:
     time, out, later = VirtualTime(), io.StringIO(), list[Callable[[], None]]()
     return time, Trace(time.clock, later.append, out), out, later
 
 
 def test_the_lines_of_one_turn_are_written_at_once() -> None:
-    _, trace, out, later = made()
+    _, trace, out, later = make_trace()
     trace("call.stands", call="c1", server="s1")
     trace("call.released", call="c1", by="server")
     assert not out.getvalue() and len(later) == 1
@@ -28,8 +28,8 @@
     ]
 
 
-def test_a_flood_of_one_event_leaves_lines_out_and_says_how_many() -> None:
-    time, trace, out, _ = made()
+def test_a_flood_of_one_event_is_limited_and_the_suppressed_lines_counted() -> None:
+    time, trace, out, _ = make_trace()
     for number in range(BURST + 50):
         trace("call.refused", call=number)
     trace("call.stands", call="other")
@@ -37,7 +37,7 @@
     trace("call.refused", call="last")
     trace.flush()
     lines = out.getvalue().splitlines()
-    assert len(lines) == BURST + 2, "another event has an allowance of its own"
+    assert len(lines) == BURST + 2, "each event name has its own allowance"
     assert lines[-1].endswith("event=call.refused call=last left_out=50")
 
 
@@ -54,6 +54,6 @@
     """
     )
     stage.wait(timedelta(milliseconds=10))
-    said = [line.partition("event=")[2] for line in out.getvalue().splitlines() if digits("c1") in line]
-    assert [line.split()[0] for line in said] == ["call.stands", "call.released", "release.sent"]
-    assert "server=server" in said[0] and "by=server cause=16" in said[1]
+    logged = [line.partition("event=")[2] for line in out.getvalue().splitlines() if digits("c1") in line]
+    assert [line.split()[0] for line in logged] == ["call.stands", "call.released", "release.sent"]
+    assert "server=server" in logged[0] and "by=server cause=16" in logged[1]
