--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -85,9 +85,9 @@
                     if name.startswith(LEARNING):
                         self.learning = max(self.learning, took)
 
-        def turned(longest: timedelta) -> bool:
+        def turned(max_wait: timedelta) -> bool:
             self._now, self._longest = 0.0, (0.0, "")
-            busy = turn(longest)
+            busy = turn(max_wait)
             self.spent.append((self._now, self._longest[1]))
             return busy
 
--- a/reedmount/dns/server.py
+++ b/reedmount/dns/server.py
@@ -7,7 +7,7 @@
 from reedmount.core.actors import Actor
 from reedmount.core.checks import COUNTERS
 from reedmount.dns.update import Master
-from reedmount.net.connection import Address, Connection, both
+from reedmount.net.connection import Address, Connection, listen_tcp_udp
 from reedmount.net.loop import READ, Loop
 
 LONGEST = 65535
@@ -18,7 +18,7 @@
 
     def __init__(self, loop: Loop, address: Address, master: Master) -> None:
         self._loop, self._master = loop, master
-        self._udp = both(loop, address, self._accept)
+        self._udp = listen_tcp_udp(loop, address, self._accept)
         self.address: Address = self._udp.getsockname()
         self._inbox: Actor[tuple[bytes, Address]] = Actor(loop, self._datagram)
         loop.watch(self._udp.fileno(), READ, self._readable)
--- a/reedmount/net/connection.py
+++ b/reedmount/net/connection.py
@@ -1,4 +1,4 @@
-"""TCP connections and listeners on the loop."""
+"""TCP connections and listeners on the event loop."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 from reedmount.core.actors import Timer
 from reedmount.core.checks import log
-from reedmount.net.loop import GONE, READ, WRITE, Loop
+from reedmount.net.loop import PEER_CLOSED, READ, WRITE, Loop
 from reedmount.net.ring import Ring
 
-CHUNK = 65536
-IN_BOUND = 32768  # two messages of the longest kind
-OUT_BOUND = 262144  # a peer that leaves so much unread is given up
+CHUNK_SIZE = 65536
+MAX_INCOMING = 32768  # bytes; two messages of the maximum size
+MAX_OUTGOING = 262144  # bytes; a peer that leaves this much unread is disconnected
 BACKLOG = 4096
-ACCEPTS = 32  # a turn: a crowd at the door must not keep all others waiting
-PORTS_TRIED = 20  # for a port that is free for both, where any will do
-ACCEPT_AGAIN = timedelta(milliseconds=100)
+MAX_ACCEPTS_PER_TURN = 32  # a burst of new connections must not delay other work
+MAX_PORT_TRIES = 20  # to find an ephemeral port that is free for both TCP and UDP
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=100)
 Address = tuple[str, int]
 
 
 class EndReason(Enum):
-    """How a connection came to its end."""
+    """Why a connection ended."""
 
     CLOSED = "closed by the peer"
     RESET = "reset"
@@ -34,16 +34,16 @@
     OURS = "closed here"
 
 
-def _nothing(_: Connection) -> None:
-    """What is told of a connection that has ended."""
+def _ignore_event(_: Connection) -> None:
+    """Data callback of a connection that has ended."""
 
 
-def _nobody(_: Connection, __: EndReason) -> None:
-    """Who is told of its end a second time."""
+def _ignore_end(_: Connection, __: EndReason) -> None:
+    """End callback of a connection whose end has been reported."""
 
 
 class Connection:
-    """One TCP connection: a ring buffer a direction, and its owner's callbacks."""
+    """A TCP connection with one ring buffer per direction; events are reported to its owner's callbacks."""
 
     def __init__(
         self,
@@ -54,20 +54,18 @@
         on_sent: Callable[[Connection], None] = lambda _: None,
         urgent: bool = False,
     ) -> None:
-        self.incoming = Ring(IN_BOUND)
+        self.incoming = Ring(MAX_INCOMING)
         self.connected = True
         self.ended = False
-        self.peer_finished = (
-            False  # the peer sends no more, though what it sent before may not all be read yet
-        )
+        self.peer_finished = False  # the peer has shut down its side; data it sent may still be unread
         self.opened_at: datetime = loop.clock.now()
         self.last_received_at: datetime = self.opened_at
-        self._outgoing = Ring(OUT_BOUND)
+        self._outgoing = Ring(MAX_OUTGOING)
         self._loop, self._sock, self._urgent = loop, sock, urgent
         self._on_data, self._on_end, self._on_sent = on_data, on_end, on_sent
         self._timer: Timer | None = None
-        self._closing = False
-        self._watched = 0
+        self._close_when_sent = False
+        self._watched_events = 0
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._watch()
@@ -77,42 +75,45 @@
         cls,
         loop: Loop,
         address: Address,
-        longest: timedelta,
+        timeout: timedelta,
         on_data: Callable[[Connection], None],
         on_end: Callable[[Connection, EndReason], None],
         on_sent: Callable[[Connection], None] = lambda _: None,
         source: str | None = None,
     ) -> Connection:
-        """Connect; ``on_sent`` tells that it is up. A time-out and a refusal are told apart in ``on_end``.
-        ``source``: the address of ours that the peer sees; OSError where it is none."""
+        """Connect to an address; ``on_sent`` is called when the connection is established.
+
+        ``on_end`` distinguishes a connect timeout from a refused connection. ``source`` is the local address
+        to bind to; raises OSError if this host does not have it.
+        """
         sock = socket.socket(address_family(address), socket.SOCK_STREAM)
         sock.setblocking(False)
         if source is not None:
             sock.bind((source, 0))
         code = sock.connect_ex(address)
-        made = cls(loop, sock, on_data, on_end, on_sent)
-        made.connected = False
-        made._watch()
+        connection = cls(loop, sock, on_data, on_end, on_sent)
+        connection.connected = False
+        connection._watch()
         if code not in (0, errno.EINPROGRESS):
             end = EndReason.REFUSED if code == errno.ECONNREFUSED else EndReason.NEVER_UP
-            loop.call_soon(lambda: made.close(end))
-        made._timer = loop.call_later(longest, made._give_up)
-        return made
+            loop.call_soon(lambda: connection.close(end))
+        connection._timer = loop.call_later(timeout, connection._on_connect_timeout)
+        return connection
 
-    def _give_up(self) -> None:
+    def _on_connect_timeout(self) -> None:
         if not self.connected:
             self.close(EndReason.NEVER_UP)
 
     @property
     def idle(self) -> bool:
-        """Whether all that was sent is with the system: nothing waits here."""
+        """Whether all sent data has been passed to the kernel."""
         return self.connected and not self._outgoing
 
     def send(self, data: bytes) -> None:
-        """Write what the system takes now and keep the rest."""
+        """Write as much as the kernel accepts now and buffer the rest."""
         if self.ended:
             return
-        if self.connected and not self._outgoing and not self._closing:
+        if self.connected and not self._outgoing and not self._close_when_sent:
             try:
                 sent = self._sock.send(data)
             except BlockingIOError:
@@ -130,41 +131,41 @@
             self._flush()
 
     def close(self, end: EndReason = EndReason.OURS) -> None:
-        """Close at once; the owner is told unless it did it itself."""
+        """Close immediately; ``on_end`` is called unless the owner itself closed the connection."""
         if self.ended:
             return
         self.ended, self.connected = True, False
         self._close_socket()
-        tell = self._on_end
-        # Nothing is left that goes round in circles: a day of brief connections is no work for the collector.
-        self._on_data = self._on_sent = _nothing
-        self._on_end = _nobody
+        on_end = self._on_end
+        # Break reference cycles, so that many short connections leave no work for the garbage collector.
+        self._on_data = self._on_sent = _ignore_event
+        self._on_end = _ignore_end
         if end is not EndReason.OURS:
-            tell(self, end)
+            on_end(self, end)
 
-    def close_gracefully(self, longest: timedelta) -> None:
-        """Say that no more comes, and drop what the peer still sends until it closes or the time is over.
+    def close_gracefully(self, timeout: timedelta) -> None:
+        """Shut down writing, and discard what the peer still sends until it closes or the timeout expires.
 
-        Closing at once answers what is on its way with a reset, and the peer may never read what came before.
-        Nobody is told of anything any more.
+        An immediate close would answer data in flight with a reset, and the peer might then never read what
+        was sent to it before. No callback is called any more.
         """
         if self.ended or not self.idle:
             self.close()
             return
         self.ended, self.connected = True, False
-        self._on_data = self._on_sent = _nothing
-        self._on_end = _nobody
+        self._on_data = self._on_sent = _ignore_event
+        self._on_end = _ignore_end
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
             self._close_socket()
             return
-        self._loop.watch(self._sock.fileno(), READ | GONE, self._drop_rest, self._urgent)
-        self._timer = self._loop.call_later(longest, self._close_socket)
+        self._loop.watch(self._sock.fileno(), READ | PEER_CLOSED, self._discard_input, self._urgent)
+        self._timer = self._loop.call_later(timeout, self._close_socket)
 
-    def _drop_rest(self, _: int) -> None:
+    def _discard_input(self, _: int) -> None:
         try:
-            if self._sock.recv(CHUNK):
+            if self._sock.recv(CHUNK_SIZE):
                 return
         except BlockingIOError:
             return
@@ -180,7 +181,7 @@
             self._sock.close()
 
     def finish_writing(self) -> None:
-        """Send no more and say so; what the peer has sent until it closes as well is still read."""
+        """Shut down the writing side (half-close); data from the peer is still read until it closes."""
         if self.connected and not self.ended:
             try:
                 self._sock.shutdown(socket.SHUT_WR)
@@ -189,7 +190,7 @@
 
     @property
     def unread(self) -> bool:
-        """Whether something lies with the system that was not read: closing now would reset its sender."""
+        """Whether received data has not been read yet: closing now would reset the connection."""
         if self.ended or len(self.incoming):
             return not self.ended
         try:
@@ -198,18 +199,18 @@
             return False
 
     def close_after_send(self) -> None:
-        """Close once all is written."""
-        self._closing = True
+        """Close as soon as all buffered data is written."""
+        self._close_when_sent = True
         if self.idle:
             self.close()
 
     def _watch(self) -> None:
-        wanted = READ | GONE if self.connected and not self._outgoing else READ | WRITE | GONE
-        if wanted != self._watched:
-            self._watched = wanted
-            self._loop.watch(self._sock.fileno(), wanted, self._ready, self._urgent)
+        events = READ | PEER_CLOSED if self.connected and not self._outgoing else READ | WRITE | PEER_CLOSED
+        if events != self._watched_events:
+            self._watched_events = events
+            self._loop.watch(self._sock.fileno(), events, self._on_events, self._urgent)
 
-    def _ready(self, events: int) -> None:
+    def _on_events(self, events: int) -> None:
         if not self.connected:
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
@@ -225,18 +226,18 @@
                 self._flush()
         elif events & WRITE and not self.ended:
             self._flush()
-        self.peer_finished = self.peer_finished or bool(events & GONE)
+        self.peer_finished = self.peer_finished or bool(events & PEER_CLOSED)
         if not self.ended and events & ~WRITE:
             self._read()
 
     def _read(self) -> None:
-        """Read once a turn: its owner takes that before more is read, and others have their turn."""
+        """Read once per loop iteration, so that the owner can consume the data and others are served."""
         room = self.incoming.room
         if not room:
-            self.close(EndReason.STUCK)  # its reader left a message longer than any may be
+            self.close(EndReason.STUCK)  # the reader left a message above the maximum size
             return
         try:
-            data = self._sock.recv(min(CHUNK, room))
+            data = self._sock.recv(min(CHUNK_SIZE, room))
         except BlockingIOError:
             return
         except OSError:
@@ -247,32 +248,32 @@
             return
         self.last_received_at = self._loop.clock.now()
         self.incoming.write(data)
-        if len(self.incoming) >= self.incoming.wanted:  # else its reader could only look and go
+        if len(self.incoming) >= self.incoming.needed:  # else the message is still incomplete
             self._on_data(self)
 
     def _flush(self) -> None:
-        had = bool(self._outgoing)
+        had_data = bool(self._outgoing)
         while self._outgoing:
             try:
-                sent = self._sock.send(self._outgoing.peek(CHUNK))
+                sent = self._sock.send(self._outgoing.peek(CHUNK_SIZE))
             except BlockingIOError:
                 break
             except OSError:
-                # The owner is amid something else: it is told after that.
+                # The owner may be in the middle of other work: report the end afterwards.
                 self._loop.call_soon(lambda: self.close(EndReason.RESET))
                 return
             self._outgoing.drop(sent)
         self._watch()
-        if had and not self._outgoing:
-            if self._closing:
+        if had_data and not self._outgoing:
+            if self._close_when_sent:
                 self.close()
             else:
                 self._on_sent(self)
 
 
-def both(loop: Loop, address: Address, on_accept: Callable[[socket.socket], None]) -> socket.socket:
-    """Listen for connections and return a socket for datagrams at the same address."""
-    for tries_left in range(PORTS_TRIED, -1, -1):
+def listen_tcp_udp(loop: Loop, address: Address, on_accept: Callable[[socket.socket], None]) -> socket.socket:
+    """Accept TCP connections at an address and return a UDP socket bound to the same address and port."""
+    for tries_left in range(MAX_PORT_TRIES, -1, -1):
         udp = socket.socket(address_family(address), socket.SOCK_DGRAM)
         udp.setblocking(False)
         try:
@@ -287,7 +288,7 @@
 
 
 def bind(address: Address, shared: bool = False) -> socket.socket:
-    """A socket that listens at an address; a shared one leaves room for that of another process."""
+    """Return a listening TCP socket; with ``shared``, another process may listen at the same address."""
     sock = socket.socket(address_family(address), socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -302,7 +303,7 @@
 
 
 class Listener:
-    """A socket that connections are accepted from, or not for a while: they wait with the system then."""
+    """Accepts connections from a listening socket. While stopped, they wait in the backlog."""
 
     def __init__(
         self,
@@ -318,35 +319,35 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address it listens at."""
         host, port = self.sock.getsockname()[:2]
         return host, port
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start accepting connections."""
         self._open = True
-        self._loop.watch(self.sock.fileno(), READ, self._ready, self._urgent)
+        self._loop.watch(self.sock.fileno(), READ, self._on_events, self._urgent)
 
     def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         self._open = False
         self._loop.unwatch(self.sock.fileno())
 
-    def _again(self) -> None:
+    def _resume(self) -> None:
         if self._open:
             self.start()
 
-    def _ready(self, _: int) -> None:
-        for _ in range(ACCEPTS):
+    def _on_events(self, _: int) -> None:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 accepted, _peer = self.sock.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as error:
-                # Out of descriptors: looked at again a little later, lest the loop turn for nothing else.
+                # Out of descriptors: try again after a delay, so that the loop does not spin on the listener.
                 log(f"accept: {error}", "accept")
                 self._loop.unwatch(self.sock.fileno())
-                self._loop.call_later(ACCEPT_AGAIN, self._again)
+                self._loop.call_later(ACCEPT_RETRY_DELAY, self._resume)
                 return
             self._on_accept(accepted)
 
@@ -354,25 +355,25 @@
 def listen(
     loop: Loop, address: Address, on_accept: Callable[[socket.socket], None], urgent: bool = False
 ) -> socket.socket:
-    """Accept connections at an address; the listening socket is returned, to close it with."""
+    """Accept connections at an address; returns the listening socket, for the caller to close."""
     listener = Listener(loop, bind(address), on_accept, urgent)
     listener.start()
     return listener.sock
 
 
 def address_family(address: Address) -> socket.AddressFamily:
-    """IPv6 where the host is written with colons."""
+    """Return AF_INET6 if the host contains a colon, else AF_INET."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def format_address(address: Address) -> str:
-    """An address as it is written: ``192.0.2.1:5060``, ``[2001:db8::1]:5060``."""
+    """Format an address as ``192.0.2.1:5060`` or ``[2001:db8::1]:5060``."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``, an IPv6 address in brackets."""
+    """Parse ``host:port``; an IPv6 address must be in brackets."""
     host, colon, port = text.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
--- a/reedmount/sip/endpoint.py
+++ b/reedmount/sip/endpoint.py
@@ -10,7 +10,7 @@
 from reedmount.core.actors import Actor
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.fault_isolation import run_isolated
-from reedmount.net.connection import Address, Connection, EndReason, both, format_address
+from reedmount.net.connection import Address, Connection, EndReason, format_address, listen_tcp_udp
 from reedmount.net.loop import READ, Loop
 from reedmount.net.ring import Ring
 from reedmount.sip.framing import next_message
@@ -179,11 +179,11 @@
         self.layer = Layer(loop, timers, user)
         self.on_hop_lost: Callable[[list[ServerTransaction]], None] = lambda _: None
         self._hops: dict[TcpHop, None] = {}
-        self._udp = both(loop, address, self._accept)
+        self._udp = listen_tcp_udp(loop, address, self._accept)
         self.address: Address = self._udp.getsockname()[:2]
         self._datagrams: Actor[tuple[bytes, Address]] = Actor(loop, self._datagram)
         loop.watch(self._udp.fileno(), READ, lambda _: self._readable(self._udp))
-        self._udp6 = both(loop, address6, self._accept) if address6 is not None else None
+        self._udp6 = listen_tcp_udp(loop, address6, self._accept) if address6 is not None else None
         self.address6: Address | None = None
         if self._udp6 is not None:
             sock6 = self._udp6
--- a/reedmount/sip/framing.py
+++ b/reedmount/sip/framing.py
@@ -19,7 +19,7 @@
     drops what it has taken, so that a ring of two messages always has room for the rest of one. Where there
     is none it notes on the ring how far it has looked: a message in small pieces is not gone through again.
     """
-    if len(ring) < ring.wanted or not len(ring):
+    if len(ring) < ring.needed or not len(ring):
         return None
     while ring.peek(1) in (b"\r", b"\n"):
         start = ring.peek(LONGEST)
@@ -42,7 +42,7 @@
     begun = end + len(BLANK)
     if begun + length > LONGEST:
         raise SipError(513, "longer than 16 KiB")
-    ring.scanned, ring.wanted = end, begun + length
+    ring.scanned, ring.needed = end, begun + length
     if len(ring) < begun + length:
         return None
     body = ring.peek(begun + length)[begun:]
