--- a/reedmount/fronts/sip.py
+++ b/reedmount/fronts/sip.py
@@ -27,7 +27,7 @@
     response,
     user_of,
 )  # fmt: skip
-from reedmount.sip.transaction import COOKIE, Hop, ServerTransaction, State, Timers
+from reedmount.sip.transaction import MAGIC_COOKIE, Hop, ServerTransaction, State, Timers
 
 ALLOW = "INVITE, ACK, BYE, CANCEL, OPTIONS"
 KNOWN_METHODS = frozenset(  # known to SIP, not allowed here
@@ -104,7 +104,7 @@
         """Its dialog as it will be once it is answered, for whoever may have to end it."""
         invite = self.transaction.request
         local = response(invite, 200, tag=self.tag).need("To")
-        return DialogState.of(dialogs.uas_dialog(invite, local), self.transaction.hop.reliable)
+        return DialogState.from_dialog(dialogs.uas_dialog(invite, local), self.transaction.hop.reliable)
 
     @property
     def open(self) -> bool:
@@ -124,7 +124,7 @@
         self.transaction.respond(answer)
         timers = self.front.settings.timers
         self._repeat(timers.t1)
-        self.front.loop.call_later(timers.longest, self._never_acknowledged)
+        self.front.loop.call_later(timers.timeout, self._never_acknowledged)
 
     def progressed(self, name: str, progress: Progress, description: bytes) -> None:
         """180 to 183. Another far end has another tag: it is an early dialog of its own (12.1)."""
@@ -209,11 +209,11 @@
     def __init__(self, loop: Loop, switch: Switch, settings: SipSettings, seed: int) -> None:
         self.loop, self.switch, self.settings = loop, switch, settings
         self.first_choice: Callable[[str], int | None] = lambda _: None
-        self.legs: dict[dialogs.Key, Leg] = {}
+        self.legs: dict[dialogs.DialogKey, Leg] = {}
         self.names: dict[str, Leg] = {}
         self._asked: dict[Asked, Leg] = {}
         self._asking: dict[ServerTransaction, Leg] = {}  # by the INVITE's transaction
-        self.server_legs: dict[dialogs.Key, FarLeg] = {}
+        self.server_legs: dict[dialogs.DialogKey, FarLeg] = {}
         self.recorder: DialogRecorder | None = None
         self._random = random.Random(seed)
         self._count = 0
@@ -235,7 +235,7 @@
 
     def via(self, hop: Hop) -> str:
         """A Via with a new branch."""
-        return self.endpoint.via(hop, COOKIE + self.token())
+        return self.endpoint.via(hop, MAGIC_COOKIE + self.token())
 
     def bye(self, dialog: Dialog | None, hop: Hop, cause: int) -> None:
         """End a leg; its answer changes nothing."""
@@ -250,7 +250,7 @@
                 return
             hop = TcpHop.dial(self.endpoint, address, self.settings.connect_wait)
         reason = [("Reason", f"Q.850;cause={cause}")]
-        self.endpoint.layer.send(dialog.request("BYE", self.via(hop), reason), hop, lambda _: None)
+        self.endpoint.transactions.send(dialog.request("BYE", self.via(hop), reason), hop, lambda _: None)
 
     def release_for(self, side: DialogState, cause: int) -> None:
         """End a leg of a border controller that is gone, from our address, with its dialog's identifiers (RFC
@@ -261,14 +261,14 @@
             COUNTERS.add("sip.released.untold")
             return
         endpoint = self.endpoint
-        hop: Hop = endpoint.udp(address)
+        hop: Hop = endpoint.udp_hop(address)
         if side.transport == "tcp":
             hop = TcpHop.dial(endpoint, address, self.settings.connect_wait)
         self.bye(side.dialog, hop, cause)
 
     # --- the User of the transactions ---
 
-    def requested(self, transaction: ServerTransaction) -> None:
+    def handle_request(self, transaction: ServerTransaction) -> None:
         """A new request of a client or a call server."""
         message = transaction.request
         try:
@@ -303,7 +303,7 @@
         if transaction.state in (State.TRYING, State.PROCEEDING):
             transaction.respond(response(transaction.request, 500, tag=self.token()))
 
-    def acknowledged(self, message: Message) -> None:
+    def handle_ack(self, message: Message) -> None:
         """The ACK of a 200."""
         leg = self.legs.get(dialogs.dialog_key(message))
         if leg is None:
@@ -371,7 +371,7 @@
         return min(usual, int(text) * SECOND)
 
     def _cancel(self, transaction: ServerTransaction) -> None:
-        invite = self.endpoint.layer.cancelled_by(transaction.request)
+        invite = self.endpoint.transactions.find_cancelled_invite(transaction.request)
         if invite is None:
             transaction.respond(response(transaction.request, 481, tag=self.token()))
             return
--- a/reedmount/fronts/sip_servers.py
+++ b/reedmount/fronts/sip_servers.py
@@ -54,7 +54,7 @@
         entry, setup = self.peer.entry, self.setup
         place = format_address(entry.address)
         target = f"sip:{setup.number}@{place};transport={'tcp' if hop.reliable else 'udp'}"
-        host = format_address(front.endpoint.own(hop.ipv6)).rpartition(":")[0]
+        host = format_address(front.endpoint.local_address(hop.ipv6)).rpartition(":")[0]
         invite = request("INVITE", target, [
             ("Via", front.via(hop)), ("Max-Forwards", "70"),
             ("From", f"<sip:reedmount@{host}>;tag={front.token()}"),
@@ -65,7 +65,7 @@
             *([("Content-Type", "application/sdp")] if setup.description else []),
         ], setup.description)  # fmt: skip
         self.hop = hop
-        self.transaction = front.endpoint.layer.send(invite, hop, self._answered)
+        self.transaction = front.endpoint.transactions.send(invite, hop, self._answered)
 
     def call_off(self, outcome: i.Outcome) -> None:
         """Its time is up, or the module wants it stopped: CANCEL, as soon as there is something to cancel."""
@@ -78,7 +78,7 @@
             self._cancel()
         else:
             # Nothing was heard yet, and a CANCEL may not go before that (9.1): it is sent no more.
-            self.transaction.stop_repeating()
+            self.transaction.stop_retransmitting()
         self.end(outcome)
 
     def end(self, outcome: i.Outcome, cause: i.Cause = i.Cause.NONE) -> None:
@@ -111,7 +111,7 @@
         own = self.transaction.request
         headers = [(name, own.need(name)) for name in ("Via", "Max-Forwards", "From", "To", "Call-ID")]
         message = request("CANCEL", own.uri, [*headers, ("CSeq", f"{own.cseq[0]} CANCEL")])
-        self.peer.front.endpoint.layer.send(message, self.hop, lambda _: None)
+        self.peer.front.endpoint.transactions.send(message, self.hop, lambda _: None)
 
     def _answered(self, message: Message | None) -> None:
         if message is None:
@@ -169,7 +169,7 @@
             front, leg = self.peer.front, self.peer.front.names.get(self.setup.name)
             if front.recorder is not None and leg is not None and not self.ended:
                 self._held_up = True
-                sides = (leg.side, DialogState.of(self.dialog, self.hop.reliable))
+                sides = (leg.side, DialogState.from_dialog(self.dialog, self.hop.reliable))
                 server, attempts = self.peer.entry.server, self.setup.attempt + 1
                 front.recorder.call_established(
                     self.setup.name, server, attempts, sides, lambda: self._kept(message)
@@ -276,7 +276,7 @@
         if not self.entry.serving:
             leg.end(i.Outcome.NOT_SENT)
         elif self.entry.transport == "udp":
-            leg.start(self.front.endpoint.udp(self.entry.address))
+            leg.start(self.front.endpoint.udp_hop(self.entry.address))
         else:
             hop = self._connect()
             if hop.connection.connected:
@@ -287,7 +287,7 @@
     def _connect(self) -> TcpHop:
         if self._hop is None or self._hop.connection.ended:
             hop = TcpHop.dial(self.front.endpoint, self.entry.address, self.front.settings.connect_wait)
-            hop.on_up, hop.on_lost = self._up, self.post
+            hop.on_connected, hop.on_lost = self._up, self.post
             self._hop = hop
         return self._hop
 
--- a/reedmount/sip/__init__.py
+++ b/reedmount/sip/__init__.py
@@ -1,1 +1,1 @@
-"""SIP as RFC 3261 has it: messages, framing, transactions and dialogs."""
+"""SIP (RFC 3261): messages, framing, transactions, dialogs and the transport layer."""
--- a/reedmount/sip/message.py
+++ b/reedmount/sip/message.py
@@ -1,17 +1,17 @@
-"""SIP messages: reading and writing them, whole and by header."""
+"""SIP messages: parsing and formatting of messages and header values."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-LONGEST = 16384
+MAX_MESSAGE_SIZE = 16384  # bytes
 VERSION = "SIP/2.0"
-COMPACT = {
+COMPACT_FORMS = {
     "v": "via", "f": "from", "t": "to", "i": "call-id", "m": "contact", "l": "content-length",
     "c": "content-type", "k": "supported", "s": "subject", "e": "content-encoding",
 }  # fmt: skip
-REASONS = {
+REASON_PHRASES = {
     100: "Trying", 180: "Ringing", 181: "Call Is Being Forwarded", 182: "Queued", 183: "Session Progress",
     200: "OK", 400: "Bad Request", 405: "Method Not Allowed",
     408: "Request Timeout", 420: "Bad Extension", 480: "Temporarily Unavailable",
@@ -22,14 +22,14 @@
     513: "Message Too Large",
 }  # fmt: skip
 METHODS = ("INVITE", "ACK", "BYE", "CANCEL", "OPTIONS")
-TOKEN = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.!%*_+`'~")
+TOKEN_CHARS = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.!%*_+`'~")
 
 
 class SipError(ValueError):
-    """A message that cannot be taken; the status tells its sender why."""
+    """A message that is rejected, with the status code for the response to its sender."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -43,15 +43,15 @@
     reason: str = ""
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
-    index: dict[str, str] | None = None  # of a message that was read: first values by lower-case name
+    index: dict[str, str] | None = None  # of a parsed message: first values by lower-case name
 
     @property
     def is_request(self) -> bool:
-        """Whether it asks something."""
+        """Whether this is a request."""
         return bool(self.method)
 
     def get(self, name: str) -> str | None:
-        """The first value of a header, by its long name in any case."""
+        """Return the first value of a header, by its long name in any case."""
         wanted = name.lower()
         if self.index is not None:
             return self.index.get(wanted)
@@ -61,12 +61,12 @@
         return None
 
     def all(self, name: str) -> list[str]:
-        """All values of a header, in order."""
+        """Return all values of a header, in order."""
         wanted = name.lower()
         return [value for key, value in self.headers if key.lower() == wanted]
 
     def need(self, name: str) -> str:
-        """A header that has to be there."""
+        """Return the first value of a mandatory header; raises SipError if it is missing or empty."""
         value = self.get(name)
         if not value:
             raise SipError(400, f"{name} is missing")
@@ -74,19 +74,19 @@
 
     @property
     def call_id(self) -> str:
-        """The Call-ID."""
+        """The Call-ID; raises SipError if it is missing."""
         return self.need("Call-ID")
 
     @property
     def cseq(self) -> tuple[int, str]:
-        """The number and the method in CSeq."""
+        """The sequence number and the method in CSeq; raises SipError if it is malformed."""
         number, _, method = self.need("CSeq").partition(" ")
         if not number.isdecimal() or int(number) >= 2**31 or not method.strip():
             raise SipError(400, "CSeq is malformed")
         return int(number), method.strip()
 
     def encode(self) -> bytes:
-        """As it goes on the wire; Content-Length is added here."""
+        """Encode the message for the wire; Content-Length is added here."""
         first = f"{VERSION} {self.status} {self.reason}"
         if self.method:
             first = f"{self.method} {self.uri} {VERSION}"
@@ -96,14 +96,14 @@
 
 
 def request(method: str, uri: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> Message:
-    """A request."""
+    """Build a request."""
     return Message(method=method, uri=uri, headers=list(headers), body=body)
 
 
 def response(
     to: Message, status: int, extra: Iterable[tuple[str, str]] = (), body: bytes = b"", tag: str = ""
 ) -> Message:
-    """The response to a request; ``tag`` goes to To where it has none yet."""
+    """Build the response to a request; ``tag`` is added to To unless it already has one."""
     headers = []
     for key, value in to.headers:
         name = key.lower()
@@ -111,120 +111,124 @@
             value = f"{value};tag={tag}"
         if name in ("via", "from", "to", "call-id", "cseq"):
             headers.append((key, value))
-    return Message(status=status, reason=REASONS.get(status, "Other"), headers=[*headers, *extra], body=body)
+    return Message(
+        status=status, reason=REASON_PHRASES.get(status, "Other"), headers=[*headers, *extra], body=body
+    )
 
 
 def parse_head(head: bytes) -> Message:
-    """Read all up to the empty line; the headers get their long names, folded lines are joined."""
+    """Parse a message up to the empty line; headers get their long names, folded lines are joined."""
     try:
         text = head.decode()
     except UnicodeDecodeError:
         raise SipError(400, "not UTF-8 text") from None
     lines = text.replace("\r\n", "\n").split("\n")
-    message = _start(lines[0])
+    message = _parse_start_line(lines[0])
     index: dict[str, str] = {}
     for line in lines[1:]:
         if not line:
             continue
         if line[0] in " \t":
             if not message.headers:
-                raise SipError(400, "a folded line without a header")
+                raise SipError(400, "continuation line before the first header")
             key, value = message.headers[-1]
             message.headers[-1] = (key, f"{value} {line.strip()}".strip())
             if len([name for name, _ in message.headers if name.lower() == key.lower()]) == 1:
                 index[key.lower()] = message.headers[-1][1]
             continue
         key, colon, value = line.partition(":")
-        names = NAMES.get(key) or _names(key, line, bool(colon))
+        names = HEADER_NAMES.get(key) or _header_name(key, line, bool(colon))
         value = value.strip()
         message.headers.append((names[0], value))
-        if names[1] in SINGLE and names[1] in index:
+        if names[1] in SINGLE_VALUE_HEADERS and names[1] in index:
             raise SipError(400, f"{names[0]} stands twice")
         index.setdefault(names[1], value)
     message.index = index
     return message
 
 
-NAMES: dict[str, tuple[str, str]] = {}  # header names met so far: as they are written on, and in lower case
-MAX_NAMES, LONGEST_NAME = 256, 40
-SINGLE = frozenset(("call-id", "cseq", "content-length", "from", "to", "max-forwards"))  # else: which counts?
+# Cache by name as received: the long name, and the same in lower case.
+HEADER_NAMES: dict[str, tuple[str, str]] = {}
+MAX_CACHED_NAMES, MAX_CACHED_NAME_LENGTH = 256, 40
+# Headers of which a second value would be ambiguous.
+SINGLE_VALUE_HEADERS = frozenset(("call-id", "cseq", "content-length", "from", "to", "max-forwards"))
 
 
-def _names(text: str, line: str, colon: bool) -> tuple[str, str]:
+def _header_name(text: str, line: str, colon: bool) -> tuple[str, str]:
     key = text.strip()
-    if not colon or not key or not TOKEN.issuperset(key):
+    if not colon or not key or not TOKEN_CHARS.issuperset(key):
         raise SipError(400, f"malformed header line: {line[:60]!r}")
-    key = COMPACT.get(key.lower(), key)
+    key = COMPACT_FORMS.get(key.lower(), key)
     found = (key, key.lower())
-    if len(NAMES) < MAX_NAMES and len(text) <= LONGEST_NAME:
-        NAMES[text] = found
+    if len(HEADER_NAMES) < MAX_CACHED_NAMES and len(text) <= MAX_CACHED_NAME_LENGTH:
+        HEADER_NAMES[text] = found
     return found
 
 
-def _start(line: str) -> Message:
+def _parse_start_line(line: str) -> Message:
     parts = line.split(" ", 2)
     if len(parts) == 3 and parts[0] == VERSION and len(parts[1]) == 3 and parts[1].isdecimal():
         return Message(status=int(parts[1]), reason=parts[2])
     if len(parts) == 2 and parts[0] == VERSION and len(parts[1]) == 3 and parts[1].isdecimal():
         return Message(status=int(parts[1]))
-    if len(parts) == 3 and TOKEN.issuperset(parts[0]) and parts[0] and parts[1]:
+    if len(parts) == 3 and TOKEN_CHARS.issuperset(parts[0]) and parts[0] and parts[1]:
         if parts[2] != VERSION:
             raise SipError(505 if parts[2].startswith("SIP/") else 400, f"version {parts[2][:20]!r}")
         return Message(method=parts[0], uri=parts[1])
-    raise SipError(400, f"malformed first line: {line[:60]!r}")
+    raise SipError(400, f"malformed start line: {line[:60]!r}")
 
 
 def content_length(message: Message) -> int | None:
-    """Content-Length, where it is there."""
+    """Return the Content-Length, or None if there is none."""
     text = message.get("Content-Length")
     if text is None:
         return None
     if not text.isdecimal() or len(text) > 9:
-        raise SipError(400, f"Content-Length is not a length: {text[:20]!r}")
+        raise SipError(400, f"Content-Length is not a number: {text[:20]!r}")
     return int(text)
 
 
 def parse_datagram(data: bytes) -> Message:
-    """One message in one datagram; what goes beyond Content-Length is not looked at."""
-    if len(data) > LONGEST:
-        raise SipError(513, "longer than 16 KiB")
+    """Parse a datagram as one message; bytes beyond its Content-Length are ignored (18.3)."""
+    if len(data) > MAX_MESSAGE_SIZE:
+        raise SipError(513, "message larger than 16 KiB")
     head, blank, body = data.lstrip(b"\r\n").partition(b"\r\n\r\n")
     if not blank:
-        raise SipError(400, "no end of the headers")
+        raise SipError(400, "no empty line after the headers")
     message = parse_head(head)
     length = content_length(message)
     if length is not None and length > len(body):
-        raise SipError(400, "cut short")
+        raise SipError(400, "datagram cut short: the body is shorter than Content-Length")
     message.body = body if length is None else body[:length]
     return message
 
 
-def _places(text: str) -> Iterator[str]:
-    """The places of a list, as they stand between the commas outside quotes and angle brackets."""
-    depth, quoted, begun = 0, False, 0
+def _split_list(text: str) -> Iterator[str]:
+    """Split a list at the commas outside quotes and angle brackets; the items are not stripped."""
+    depth, quoted, start = 0, False, 0
     for at, char in enumerate(text):
         if char == '"':
             quoted = not quoted
         elif not quoted and char in "<>":
             depth += 1 if char == "<" else -1
         elif char == "," and not quoted and depth <= 0:
-            yield text[begun:at]
-            begun = at + 1
-    yield text[begun:]
+            yield text[start:at]
+            start = at + 1
+    yield text[start:]
 
 
 def header_values(text: str) -> list[str]:
-    """The values of a header that may hold several; empty places are none (RFC 3261, 7.3.1)."""
-    return [value for place in _places(text) if (value := place.strip())]
+    """Return the values of a header that may have several; empty items are skipped (RFC 3261, 7.3.1)."""
+    return [value for item in _split_list(text) if (value := item.strip())]
 
 
 def first_value(text: str) -> str:
-    """The first value of such a header as it stands, without what follows; '' where its place is empty."""
-    return next(_places(text)).rstrip() if "," in text else text
+    """Return the text before the first separating comma of such a header; '' if that item is empty."""
+    return next(_split_list(text)).rstrip() if "," in text else text
 
 
 def parameter(value: str, name: str) -> str | None:
-    """A parameter behind a value's semicolons, outside any angle brackets; '' for one without a value."""
+    """Return a parameter of a header value, outside angle brackets; '' if it has no value, None if absent."""
     tail = value.rpartition(">")[2] if "<" in value else value
     for part in tail.split(";")[1:]:
         key, _, text = part.partition("=")
@@ -234,22 +238,22 @@
 
 
 def uri_of(value: str) -> str:
-    """The address in a From, To or Contact value."""
+    """Return the URI in a From, To or Contact value."""
     if "<" in value:
         return value.partition("<")[2].partition(">")[0]
     return value.partition(";")[0].strip()
 
 
 def user_of(uri: str) -> str:
-    """The user part of a SIP address."""
+    """Return the user part of a SIP or SIPS URI; '' if there is none."""
     if not uri.lower().startswith(("sip:", "sips:")):
-        raise SipError(400, f"not a SIP address: {uri[:40]!r}")
+        raise SipError(400, f"not a SIP URI: {uri[:40]!r}")
     rest = uri.partition(":")[2]
     return rest.partition("@")[0].partition(";")[0] if "@" in rest else ""
 
 
-def split_place(text: str) -> tuple[str, str]:
-    """The host and the port of ``host:port``, either of which may be empty; IPv6 stands in brackets."""
+def split_host_port(text: str) -> tuple[str, str]:
+    """Split ``host:port``, either of which may be empty; an IPv6 address is in brackets."""
     if text.startswith("["):
         host, _, rest = text[1:].partition("]")
         return host, rest.removeprefix(":")
@@ -258,11 +262,11 @@
 
 
 def host_port(uri: str) -> tuple[str, int]:
-    """The host and port of a SIP address; 5060 where it names none."""
+    """Return the host and port of a SIP URI; the default port is 5060."""
     if not uri.lower().startswith("sip:"):
-        raise SipError(400, f"not a SIP address: {uri[:40]!r}")
-    place = uri.partition(":")[2].rpartition("@")[2].partition(";")[0].partition("?")[0]
-    host, port = split_place(place)
+        raise SipError(400, f"not a SIP URI: {uri[:40]!r}")
+    authority = uri.partition(":")[2].rpartition("@")[2].partition(";")[0].partition("?")[0]
+    host, port = split_host_port(authority)
     if not host or (port and not (port.isdecimal() and 0 < int(port) < 65536)):
         raise SipError(400, f"no host and port in {uri[:40]!r}")
     return host, int(port or 5060)
--- a/reedmount/sip/transaction.py
+++ b/reedmount/sip/transaction.py
@@ -1,4 +1,4 @@
-"""RFC 3261 transactions (section 17, with RFC 6026's Accepted state), over UDP and TCP alike."""
+"""Transactions (RFC 3261, section 17, with the Accepted state of RFC 6026) over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 from reedmount.net.loop import Loop
 from reedmount.sip.message import Message, SipError, first_value, parameter, request, response
 
-COOKIE = "z9hG4bK"
-TRIES = 64  # of T1: timers B, F, H, J, L and M
+MAGIC_COOKIE = "z9hG4bK"
+TIMEOUT_T1_MULTIPLE = 64  # timers B, F, H, J, L and M are 64 * T1
 
 
 @dataclass(frozen=True, slots=True)
 class Timers:
-    """The base values from which all timers of RFC 3261 are made."""
+    """The base values from which all timers of RFC 3261 are derived."""
 
     t1: timedelta = timedelta(milliseconds=500)
     t2: timedelta = timedelta(seconds=4)
     t4: timedelta = timedelta(seconds=5)
 
     @property
-    def longest(self) -> timedelta:
-        """How long a transaction goes on for at most."""
-        return TRIES * self.t1
+    def timeout(self) -> timedelta:
+        """How long a transaction remains in a state at most: 64 * T1."""
+        return TIMEOUT_T1_MULTIPLE * self.t1
 
 
 class Hop(Protocol):
-    """A way to the next element: a datagram's address, or a connection."""
+    """The next hop: a UDP address or a connection."""
 
     @property
     def reliable(self) -> bool:
-        """Whether what is sent arrives, or its end is told."""
+        """Whether the transport is reliable: it delivers a message or reports that the connection ended."""
 
     @property
     def ipv6(self) -> bool:
-        """Whether it goes over IPv6."""
+        """Whether the hop uses IPv6."""
 
     def send(self, data: bytes) -> None:
-        """Write a message."""
+        """Send an encoded message."""
 
 
 class State(Enum):
-    """The states of section 17's machines."""
+    """The states of the transaction state machines (section 17)."""
 
     TRYING = "trying"  # and Calling
     PROCEEDING = "proceeding"
@@ -58,11 +58,11 @@
     TERMINATED = "terminated"
 
 
-Key = tuple[str, ...]
+TransactionKey = tuple[str, ...]
 
 
 def top_via(message: Message) -> str:
-    """The uppermost Via value; an empty place in the list is no value (RFC 3261, 7.3.1 and 20.42)."""
+    """Return the topmost Via value; an empty list item is not a value (RFC 3261, 7.3.1 and 20.42)."""
     top = first_value(message.need("Via"))
     if not top:
         raise SipError(400, "Via is empty")
@@ -70,312 +70,325 @@
 
 
 def sent_by(via: str) -> str:
-    """Where a Via says that the message came from, ``host:port``."""
+    """Return the sent-by part of a Via value, ``host:port``."""
     return via.partition(";")[0].split()[-1].lower()
 
 
-def server_key(message: Message) -> Key:
-    """What an ACK or a repeat shares with its request (17.2.3), also from clients older than RFC 3261."""
+def server_transaction_key(message: Message) -> TransactionKey:
+    """Return the key that matches an ACK or a retransmission to its request (17.2.3), also for clients that
+    follow RFC 2543 and send no branch with the magic cookie."""
     via, (number, _) = top_via(message), message.cseq
     kind = "INVITE" if message.method == "ACK" else message.method
     branch = parameter(via, "branch") or ""
-    if branch.startswith(COOKIE):
+    if branch.startswith(MAGIC_COOKIE):
         return (branch, sent_by(via), kind)
     tag = parameter(message.need("From"), "tag") or ""
     return (message.uri, message.call_id, tag, str(number), sent_by(via), kind)
 
 
-def client_key(message: Message) -> Key:
-    """What a response shares with its request (17.1.3)."""
+def client_transaction_key(message: Message) -> TransactionKey:
+    """Return the key that matches a response to its request (17.1.3)."""
     return (parameter(top_via(message), "branch") or "", message.cseq[1])
 
 
 class Transaction:
-    """What both sides' machines have: a request, the way it goes, a state and timers."""
+    """Base of client and server transactions: a request, its hop, a state and timers."""
 
-    def __init__(self, layer: Layer, message: Message, hop: Hop, key: Key) -> None:
+    def __init__(self, layer: TransactionLayer, message: Message, hop: Hop, key: TransactionKey) -> None:
         self.request, self.hop = message, hop
         self.state = State.TRYING
         self._layer, self._key = layer, key
         self._timers: list[Timer] = []
 
     @property
-    def invite(self) -> bool:
-        """Whether it is an INVITE's."""
+    def is_invite(self) -> bool:
+        """Whether this is an INVITE transaction."""
         return self.request.method == "INVITE"
 
-    def _after(self, span: timedelta, work: Callable[[], None]) -> None:
+    def _start_timer(self, span: timedelta, work: Callable[[], None]) -> None:
         self._timers.append(self._layer.loop.call_later(span, work))
 
-    def _stop(self) -> None:
+    def _cancel_timers(self) -> None:
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
 
 
 class ServerTransaction(Transaction):
-    """A request that came in, and the answers to it."""
+    """A server transaction: a received request and the responses to it."""
 
-    _last: bytes | None = None
+    _last_response: bytes | None = None
 
     def respond(self, message: Message) -> None:
-        """Send an answer; after a final one only its repeats go out."""
+        """Send a response; after a final one, further responses are ignored and counted."""
         if self.state not in (State.TRYING, State.PROCEEDING):
             COUNTERS.add("sip.second_answers")
             return
-        self._last = message.encode()
-        self.hop.send(self._last)
+        self._last_response = message.encode()
+        self.hop.send(self._last_response)
         COUNTERS.add(f"sip.out.{message.status}")
         timers = self._layer.timers
         if message.status < 200:
             self.state = State.PROCEEDING
-        elif self.invite and message.status < 300:
-            self.state = State.ACCEPTED  # its user repeats the 2xx until the ACK comes
-            self._after(timers.longest, self.end)
+        elif self.is_invite and message.status < 300:
+            self.state = State.ACCEPTED  # the transaction user retransmits the 2xx until the ACK arrives
+            self._start_timer(timers.timeout, self.end)
         else:
             self.state = State.COMPLETED
-            if self.invite:
+            if self.is_invite:
                 if not self.hop.reliable:
-                    self._repeat_after(timers.t1)  # timer G
-                self._after(timers.longest, self.end)  # timer H
+                    self._retransmit_after(timers.t1)  # timer G
+                self._start_timer(timers.timeout, self.end)  # timer H
             elif self.hop.reliable:
                 self.end()
             else:
-                self._after(timers.longest, self.end)  # timer J
+                self._start_timer(timers.timeout, self.end)  # timer J
 
-    def repeated(self) -> None:
-        """The request came again: the same answer again, and nothing else."""
+    def handle_retransmission(self) -> None:
+        """Handle a retransmission of the request: send the last response again."""
         COUNTERS.add("sip.in.repeats")
-        if self._last is not None and self.state not in (State.ACCEPTED, State.TERMINATED):
-            self.hop.send(self._last)
+        if self._last_response is not None and self.state not in (State.ACCEPTED, State.TERMINATED):
+            self.hop.send(self._last_response)
 
-    def acknowledged(self) -> None:
-        """The ACK of a refusal."""
+    def handle_ack(self) -> None:
+        """Handle the ACK of a final response other than 2xx."""
         if self.state is State.COMPLETED:
-            self._stop()
+            self._cancel_timers()
             self.state = State.CONFIRMED
             if self.hop.reliable:
                 self.end()
             else:
-                self._after(self._layer.timers.t4, self.end)  # timer I
+                self._start_timer(self._layer.timers.t4, self.end)  # timer I
 
     def end(self) -> None:
-        """Forget it."""
-        self._stop()
+        """End and forget the transaction."""
+        self._cancel_timers()
         self.state = State.TERMINATED
         self._layer.forget_server(self._key, self)
 
-    def _repeat_after(self, span: timedelta) -> None:
-        def again() -> None:
-            if self.state is State.COMPLETED and self._last is not None:
-                self.hop.send(self._last)
-                self._repeat_after(min(2 * span, self._layer.timers.t2))
+    def _retransmit_after(self, span: timedelta) -> None:
+        def retransmit() -> None:
+            if self.state is State.COMPLETED and self._last_response is not None:
+                self.hop.send(self._last_response)
+                self._retransmit_after(min(2 * span, self._layer.timers.t2))
 
-        self._after(span, again)
+        self._start_timer(span, retransmit)
 
 
-Answer = Callable[[Message | None], None]
+ResponseCallback = Callable[[Message | None], None]
 
 
 class ClientTransaction(Transaction):
-    """A request that goes out, repeated until it is answered; None tells its user that it never was."""
-
-    def __init__(self, layer: Layer, message: Message, hop: Hop, key: Key, on_answer: Answer) -> None:
+    """A client transaction: sends a request and retransmits it until a response arrives.
+
+    The callback is called with each response, or with None if there is no final response.
+    """
+
+    def __init__(
+        self,
+        layer: TransactionLayer,
+        message: Message,
+        hop: Hop,
+        key: TransactionKey,
+        on_response: ResponseCallback,
+    ) -> None:
         super().__init__(layer, message, hop, key)
-        self._on_answer = on_answer
-        self._ack: bytes | None = None
+        self._on_response = on_response
+        self._encoded_ack: bytes | None = None
         hop.send(message.encode())
         COUNTERS.add(f"sip.out.{message.method}")
         if not hop.reliable:
-            self._repeat_after(layer.timers.t1)  # timers A and E
-        self._after(layer.timers.longest, self._time_out)  # timers B and F
+            self._retransmit_after(layer.timers.t1)  # timers A and E
+        self._start_timer(layer.timers.timeout, self._on_timeout)  # timers B and F
 
-    def received(self, message: Message) -> None:
-        """An answer came."""
+    def handle_response(self, message: Message) -> None:
+        """Handle a response."""
         if self.state is State.TERMINATED:
             return
         if message.status < 200:
             if self.state is State.TRYING:
                 self.state = State.PROCEEDING
-                if self.invite:
-                    self._stop()
-                self._on_answer(message)
+                if self.is_invite:
+                    self._cancel_timers()
+                self._on_response(message)
             elif self.state is State.PROCEEDING:
-                self._on_answer(message)  # 17.1.1.2: any number of them goes to the user
+                self._on_response(message)  # 17.1.1.2: all provisional responses are passed on
         elif self.state in (State.TRYING, State.PROCEEDING):
-            self._stop()
-            self._final(message)
+            self._cancel_timers()
+            self._handle_final(message)
         elif self.state is State.ACCEPTED and message.status < 300:
-            self._on_answer(message)  # a repeated 2xx: its user sends the ACK again
-        elif self.state is State.COMPLETED and self._ack is not None:
-            self.hop.send(self._ack)
+            self._on_response(message)  # a retransmitted 2xx: the user sends the ACK again
+        elif self.state is State.COMPLETED and self._encoded_ack is not None:
+            self.hop.send(self._encoded_ack)
 
-    def stop_repeating(self) -> None:
-        """Its user has given it up: it is not sent again, but its answers are still heard."""
+    def stop_retransmitting(self) -> None:
+        """Stop retransmitting an abandoned request; its responses are still passed to the user."""
         if self.state is State.TRYING:
-            self._stop()
-            self._after(self._layer.timers.longest, self._time_out)
+            self._cancel_timers()
+            self._start_timer(self._layer.timers.timeout, self._on_timeout)
 
     def abandon(self) -> None:
-        """Its answer could not be served: its user hears that there is none."""
+        """End the transaction after a fault in handling its response; the user gets None."""
         self.end()
-        self._on_answer(None)
+        self._on_response(None)
 
-    def lost(self) -> None:
-        """The connection it went out on is gone."""
+    def connection_lost(self) -> None:
+        """Handle the loss of the connection that the request was sent on."""
         if self.state in (State.TRYING, State.PROCEEDING):
-            self._time_out()
+            self._on_timeout()
         else:
             self.end()
 
     def end(self) -> None:
-        """Forget it."""
-        self._stop()
+        """End and forget the transaction."""
+        self._cancel_timers()
         self.state = State.TERMINATED
         self._layer.forget_client(self._key, self)
 
-    def _final(self, message: Message) -> None:
+    def _handle_final(self, message: Message) -> None:
         timers = self._layer.timers
-        if self.invite and message.status < 300:
+        if self.is_invite and message.status < 300:
             self.state = State.ACCEPTED
-            self._after(timers.longest, self.end)  # timer M
+            self._start_timer(timers.timeout, self.end)  # timer M
         else:
             self.state = State.COMPLETED
-            if self.invite:
-                self._ack = self._ack_of(message).encode()
-                self.hop.send(self._ack)
+            if self.is_invite:
+                self._encoded_ack = self._build_ack(message).encode()
+                self.hop.send(self._encoded_ack)
             if self.hop.reliable:
                 self.end()
             else:
-                self._after(timers.longest if self.invite else timers.t4, self.end)  # timers D and K
-        self._on_answer(message)
+                self._start_timer(timers.timeout if self.is_invite else timers.t4, self.end)  # timers D and K
+        self._on_response(message)
 
-    def _ack_of(self, message: Message) -> Message:
-        """The ACK of a refusal has the Via of its INVITE (17.1.1.3)."""
-        own = self.request
+    def _build_ack(self, message: Message) -> Message:
+        """Build the ACK of a non-2xx final response; it has the Via of its INVITE (17.1.1.3)."""
+        invite = self.request
         headers = [
-            ("Via", top_via(own)), ("Max-Forwards", "70"), ("From", own.need("From")),
-            ("To", message.need("To")), ("Call-ID", own.call_id), ("CSeq", f"{own.cseq[0]} ACK"),
-            *(("Route", route) for route in own.all("Route")),
+            ("Via", top_via(invite)), ("Max-Forwards", "70"), ("From", invite.need("From")),
+            ("To", message.need("To")), ("Call-ID", invite.call_id), ("CSeq", f"{invite.cseq[0]} ACK"),
+            *(("Route", route) for route in invite.all("Route")),
         ]  # fmt: skip
-        return request("ACK", own.uri, headers)
+        return request("ACK", invite.uri, headers)
 
-    def _repeat_after(self, span: timedelta) -> None:
-        def again() -> None:
-            if self.state is State.TRYING or (self.state is State.PROCEEDING and not self.invite):
+    def _retransmit_after(self, span: timedelta) -> None:
+        def retransmit() -> None:
+            if self.state is State.TRYING or (self.state is State.PROCEEDING and not self.is_invite):
                 self.hop.send(self.request.encode())
                 COUNTERS.add("sip.out.repeats")
                 t2 = self._layer.timers.t2
-                self._repeat_after(2 * span if self.invite else min(2 * span, t2))
+                self._retransmit_after(2 * span if self.is_invite else min(2 * span, t2))
 
-        self._after(span, again)
+        self._start_timer(span, retransmit)
 
-    def _time_out(self) -> None:
+    def _on_timeout(self) -> None:
         self.end()
-        self._on_answer(None)
+        self._on_response(None)
 
 
 class TransactionUser(Protocol):
-    """What uses the transactions."""
+    """The transaction user (RFC 3261, section 5): the layer above the transactions."""
 
-    def requested(self, transaction: ServerTransaction) -> None:
-        """A new request."""
+    def handle_request(self, transaction: ServerTransaction) -> None:
+        """Handle a new request."""
 
     def request_failed(self, transaction: ServerTransaction) -> None:
-        """Serving a request has gone wrong: end what it owns, and answer it where that is still owed."""
+        """Clean up after a fault in handling a request, and send a final response if none was sent."""
 
-    def acknowledged(self, message: Message) -> None:
-        """The ACK of a 2xx, which belongs to no transaction."""
+    def handle_ack(self, message: Message) -> None:
+        """Handle the ACK of a 2xx, which is not part of a transaction."""
 
     def unmatched_response(self, message: Message, hop: Hop) -> None:
-        """A response to no transaction known."""
+        """Handle a response that matches no transaction."""
 
 
-class Layer:
-    """All transactions; messages are matched to them here."""
+class TransactionLayer:
+    """Holds all transactions and matches messages to them."""
 
     def __init__(self, loop: Loop, timers: Timers, user: TransactionUser) -> None:
         self.loop, self.timers = loop, timers
         self._user = user
-        self._servers: dict[Key, ServerTransaction] = {}
-        self._clients: dict[Key, ClientTransaction] = {}
-        self._on: dict[Hop, dict[Transaction, None]] = {}  # by connection
-
-    def send(self, message: Message, hop: Hop, on_answer: Answer) -> ClientTransaction:
-        """Start a client transaction; its branch has to be new."""
-        key = client_key(message)
-        transaction = ClientTransaction(self, message, hop, key, on_answer)
+        self._server_transactions: dict[TransactionKey, ServerTransaction] = {}
+        self._client_transactions: dict[TransactionKey, ClientTransaction] = {}
+        self._by_hop: dict[Hop, dict[Transaction, None]] = {}  # transactions by connection
+
+    def send(self, message: Message, hop: Hop, on_response: ResponseCallback) -> ClientTransaction:
+        """Start a client transaction; its branch must be unique."""
+        key = client_transaction_key(message)
+        transaction = ClientTransaction(self, message, hop, key, on_response)
         if transaction.state is not State.TERMINATED:
-            self._clients[key] = transaction
-            self._enter(transaction)
+            self._client_transactions[key] = transaction
+            self._add_to_hop(transaction)
         return transaction
 
-    def received(self, message: Message, hop: Hop) -> None:
-        """A message from the network, already checked."""
+    def handle_message(self, message: Message, hop: Hop) -> None:
+        """Handle a message from the network that has passed ``check_headers``."""
         if not message.is_request:
-            client = self._clients.get(client_key(message))
+            client = self._client_transactions.get(client_transaction_key(message))
             if client is None:
                 run_isolated("sip.response", lambda: self._user.unmatched_response(message, hop))
             else:
                 found = client
-                run_isolated("sip.response", lambda: found.received(message), found.abandon)
+                run_isolated("sip.response", lambda: found.handle_response(message), found.abandon)
             return
-        key = server_key(message)
-        server = self._servers.get(key)
+        key = server_transaction_key(message)
+        server = self._server_transactions.get(key)
         if message.method == "ACK":
             if server is not None and server.state is not State.ACCEPTED:
-                server.acknowledged()
+                server.handle_ack()
             else:
-                run_isolated("sip.ack", lambda: self._user.acknowledged(message))
+                run_isolated("sip.ack", lambda: self._user.handle_ack(message))
         elif server is not None:
-            server.repeated()
+            server.handle_retransmission()
         else:
-            fresh = self._servers[key] = ServerTransaction(self, message, hop, key)
-            self._enter(fresh)
+            transaction = self._server_transactions[key] = ServerTransaction(self, message, hop, key)
+            self._add_to_hop(transaction)
             run_isolated(
-                "sip.request", lambda: self._user.requested(fresh), lambda: self._user.request_failed(fresh)
+                "sip.request",
+                lambda: self._user.handle_request(transaction),
+                lambda: self._user.request_failed(transaction),
             )
 
-    def cancelled_by(self, message: Message) -> ServerTransaction | None:
-        """The INVITE that a CANCEL names."""
-        key = server_key(message)
-        return self._servers.get((*key[:-1], "INVITE"))
+    def find_cancelled_invite(self, message: Message) -> ServerTransaction | None:
+        """Return the INVITE transaction that a CANCEL refers to (9.2)."""
+        key = server_transaction_key(message)
+        return self._server_transactions.get((*key[:-1], "INVITE"))
 
     def hop_lost(self, hop: Hop) -> list[ServerTransaction]:
-        """A connection is gone: its client transactions fail; its server ones are returned."""
-        on_it = list(self._on.pop(hop, ()))
-        for transaction in on_it:
+        """Handle the loss of a connection: its client transactions fail, its server ones are returned."""
+        transactions = list(self._by_hop.pop(hop, ()))
+        for transaction in transactions:
             if isinstance(transaction, ClientTransaction):
-                transaction.lost()
-        return [transaction for transaction in on_it if isinstance(transaction, ServerTransaction)]
+                transaction.connection_lost()
+        return [transaction for transaction in transactions if isinstance(transaction, ServerTransaction)]
 
-    def _enter(self, transaction: Transaction) -> None:
-        """Find it again by its connection; datagrams have none that could end."""
+    def _add_to_hop(self, transaction: Transaction) -> None:
+        """Index a transaction by its connection; UDP hops cannot be lost."""
         if transaction.hop.reliable:
-            self._on.setdefault(transaction.hop, {})[transaction] = None
-
-    def _leave(self, transaction: Transaction) -> None:
-        on_it = self._on.get(transaction.hop) if transaction.hop.reliable else None
-        if on_it is not None:
-            on_it.pop(transaction, None)
-            if not on_it:
-                del self._on[transaction.hop]
-
-    def forget_server(self, key: Key, transaction: ServerTransaction) -> None:
-        """It is over."""
-        if self._servers.get(key) is transaction:
-            del self._servers[key]
-            self._leave(transaction)
-
-    def forget_client(self, key: Key, transaction: ClientTransaction) -> None:
-        """It is over."""
-        if self._clients.get(key) is transaction:
-            del self._clients[key]
-            self._leave(transaction)
-
-
-def check(message: Message) -> None:
-    """What every message must have (8.1.1); raises what its sender is to be told."""
+            self._by_hop.setdefault(transaction.hop, {})[transaction] = None
+
+    def _remove_from_hop(self, transaction: Transaction) -> None:
+        transactions = self._by_hop.get(transaction.hop) if transaction.hop.reliable else None
+        if transactions is not None:
+            transactions.pop(transaction, None)
+            if not transactions:
+                del self._by_hop[transaction.hop]
+
+    def forget_server(self, key: TransactionKey, transaction: ServerTransaction) -> None:
+        """Remove an ended server transaction."""
+        if self._server_transactions.get(key) is transaction:
+            del self._server_transactions[key]
+            self._remove_from_hop(transaction)
+
+    def forget_client(self, key: TransactionKey, transaction: ClientTransaction) -> None:
+        """Remove an ended client transaction."""
+        if self._client_transactions.get(key) is transaction:
+            del self._client_transactions[key]
+            self._remove_from_hop(transaction)
+
+
+def check_headers(message: Message) -> None:
+    """Check the mandatory headers (8.1.1); raises SipError with the status for the response."""
     for name in ("Via", "From", "To", "Call-ID", "CSeq"):
         message.need(name)
     _, method = message.cseq
@@ -389,8 +402,8 @@
             raise SipError(400, "Max-Forwards is not a number")
 
 
-def answer_error(message: Message | None, error: SipError) -> Message | None:
-    """The answer to a request that cannot be taken, where it has enough for one; ACK gets none."""
+def error_response(message: Message | None, error: SipError) -> Message | None:
+    """Build the response to a rejected request; None for an ACK, or if mandatory headers are missing."""
     if message is None or not message.is_request or message.method == "ACK":
         return None
     if not all(message.get(name) for name in ("Via", "From", "To", "Call-ID", "CSeq")):
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -73,7 +73,7 @@
         if turn % 20 == 0:
             stage.loop.turn(ZERO)
             stage.time.seconds += 0.05
-    stage.wait(stage.front.settings.timers.longest)
+    stage.wait(stage.front.settings.timers.timeout)
     assert COUNTERS["sip.in.malformed"] + COUNTERS["sip.in.dropped"] > before + 100
     phone.sock.setblocking(False)
     with contextlib.suppress(BlockingIOError):
--- a/tests/test_message.py
+++ b/tests/test_message.py
@@ -20,7 +20,7 @@
     response,
     user_of,
 )
-from reedmount.sip.transaction import server_key
+from reedmount.sip.transaction import server_transaction_key
 
 OLD = (
     "INVITE sip:0800@net SIP/2.0\r\nv: SIP/2.0/UDP old:5060\r\nf: <sip:a@b>;tag=1\r\nt: <sip:c@d>\r\n"
@@ -40,7 +40,12 @@
     again = parse_datagram(OLD.encode())
     other = parse_datagram(OLD.replace("x1", "x2").encode())
     ack = parse_datagram(OLD.replace("INVITE sip", "ACK sip").replace("7 INVITE", "7 ACK").encode())
-    assert server_key(first) == server_key(again) == server_key(ack) != server_key(other)
+    assert (
+        server_transaction_key(first)
+        == server_transaction_key(again)
+        == server_transaction_key(ack)
+        != server_transaction_key(other)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -20,8 +20,8 @@
 FILE = (ROOT / "deploy" / "replicas.toml").read_text()
 DISK = "# [replicas.disk_faults]"
 S = timedelta(seconds=1)
-SIDE = DialogState.of(
-    Dialog("c1", "<sip:a@b>;tag=1", "<sip:c@d>;tag=2", "sip:c@192.0.2.1:5060", number=3), False
+SIDE = DialogState.from_dialog(
+    Dialog("c1", "<sip:a@b>;tag=1", "<sip:c@d>;tag=2", "sip:c@192.0.2.1:5060", local_cseq=3), False
 )
 
 
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -597,7 +597,7 @@
     stage = Sip("server")
     stage.play("desk send INVITE c1\n desk expect 100 c1\n server expect INVITE\n desk send OPTIONS o1")
     stage.play("desk expect 200 o1\n desk close\n wait 100")
-    assert not stage.front.endpoint.layer._on and not stage.front._asking
+    assert not stage.front.endpoint.transactions._by_hop and not stage.front._asking
 
 
 def test_a_set_up_that_crosses_the_removal_of_its_server_ends_and_is_not_lost() -> None:
