--- a/reedmount/fronts/sip.py
+++ b/reedmount/fronts/sip.py
@@ -1,4 +1,4 @@
-"""The SIP front: a back-to-back user agent with a dialog a leg, between SIP clients and SIP call servers."""
+"""The SIP front: a back-to-back user agent between SIP clients and call servers, with one dialog per leg."""
 
 from __future__ import annotations
 
@@ -30,39 +30,39 @@
 from reedmount.sip.transaction import MAGIC_COOKIE, Hop, ServerTransaction, State, Timers
 
 ALLOW = "INVITE, ACK, BYE, CANCEL, OPTIONS"
-KNOWN_METHODS = frozenset(  # known to SIP, not allowed here
+NOT_ALLOWED_METHODS = frozenset(  # defined for SIP, answered 405 here
     ("REGISTER", "INFO", "UPDATE", "SUBSCRIBE", "NOTIFY", "REFER", "MESSAGE", "PRACK", "PUBLISH")
 )
-ANSWER_EARLY = timedelta(milliseconds=40)
+ANSWER_MARGIN = timedelta(milliseconds=40)
 SECOND = timedelta(seconds=1)
-STATUSES = {
+PROGRESS_STATUSES = {
     Progress.RINGING: 180, Progress.FORWARDED: 181, Progress.QUEUED: 182, Progress.SESSION: 183,
 }  # fmt: skip
-LEAVING_RETRY = timedelta(seconds=5)  # for INVITEs that come while it drains or ends
+SHUTDOWN_RETRY_AFTER = timedelta(seconds=5)  # for INVITEs during drain and shutdown
 
 
-Asked = tuple[str, str, int]
+MergeKey = tuple[str, str, int]
 
 
-def asked_by(message: Message) -> Asked:
-    """What a request has in common with copies of itself that came other ways."""
+def request_merge_key(message: Message) -> MergeKey:
+    """Return what a request shares with copies of it that took other paths (merged requests, 8.2.2.2)."""
     return (message.call_id, parameter(message.need("From"), "tag") or "", message.cseq[0])
 
 
 @dataclass(frozen=True, slots=True)
 class SipSettings:
-    """What the operator's file says of the SIP front."""
+    """The settings of the SIP front from the operator's file."""
 
     listen: Address
     default_class: str
-    prefixes: tuple[tuple[str, str], ...]  # number prefix, class: the longest that fits counts
-    waits: dict[str, timedelta]  # by class: how long a caller waits where it does not say
+    prefixes: tuple[tuple[str, str], ...]  # number prefix and class; the longest match applies
+    waits: dict[str, timedelta]  # by class: how long a caller waits without Expires
     timers: Timers
     connect_wait: timedelta
-    listen6: Address | None = None  # for IPv6, where call servers are reached by it
+    listen6: Address | None = None  # for call servers that are reached over IPv6
 
     def class_of(self, number: str, named: str | None) -> str:
-        """The class of a call: named in X-Cos, else by the number called."""
+        """Return the class of a call: the one named in X-Cos if it exists, else by the called number."""
         if named in self.waits:
             return named or self.default_class
         fitting = [(len(prefix), kind) for prefix, kind in self.prefixes if number.startswith(prefix)]
@@ -70,179 +70,179 @@
 
 
 class DialogRecorder(Protocol):
-    """Who keeps the dialogs of calls that stand."""
+    """Records the dialogs of established calls."""
 
     def call_established(
         self, name: str, server: str, attempts: int, sides: tuple[DialogState, ...], then: Callable[[], None]
     ) -> None:
-        """A call server has answered; ``then`` goes on once that is kept, or could not be in time."""
+        """Record a call that a server has answered; ``then`` is called once that is done or has timed out."""
 
 
-class FarLeg(Protocol):
-    """What the front has to know of a server's leg: a BYE that comes from there finds it by its dialog."""
+class ServerSideLeg(Protocol):
+    """The part of a server leg that the front uses to handle a BYE from the call server."""
 
     dialog: Dialog | None
     setup: Setup
 
-    def over(self) -> None:
-        """Its dialog is at its end."""
+    def dialog_ended(self) -> None:
+        """Remove the leg: its dialog has ended."""
 
 
 class Leg:
-    """A client's leg of a call: its INVITE, then its dialog. It is the call's Caller to the core."""
+    """The client leg of a call: its INVITE transaction, then its dialog. Implements the port Caller."""
 
     def __init__(self, front: SipFront, transaction: ServerTransaction, name: str, tag: str) -> None:
         self.front, self.transaction, self.name, self.tag = front, transaction, name, tag
-        self.asked = asked_by(transaction.request)
+        self.merge_key = request_merge_key(transaction.request)
         self.dialog: Dialog | None = None
         self.acknowledged = False
-        self._answer: bytes = b""
-        self._released: int | None = None
+        self._ok_response: bytes = b""
+        self._release_cause: int | None = None
 
     @property
-    def side(self) -> DialogState:
-        """Its dialog as it will be once it is answered, for whoever may have to end it."""
+    def dialog_state(self) -> DialogState:
+        """The dialog as it will be once the INVITE is answered, for instances that may have to release it."""
         invite = self.transaction.request
         local = response(invite, 200, tag=self.tag).need("To")
         return DialogState.from_dialog(dialogs.uas_dialog(invite, local), self.transaction.hop.reliable)
 
     @property
-    def open(self) -> bool:
-        """Whether its final answer is still owed."""
+    def awaits_answer(self) -> bool:
+        """Whether the INVITE still awaits its final response."""
         return self.transaction.state in (State.TRYING, State.PROCEEDING)
 
     def answered(self, name: str, description: bytes) -> None:
-        """200, repeated until the ACK comes."""
+        """Send 200 and retransmit it until the ACK arrives."""
         invite = self.transaction.request
         extra = [("Contact", self.front.endpoint.contact(self.transaction.hop)), ("Allow", ALLOW),
                  *(("Record-Route", value) for value in invite.all("Record-Route")),
                  *([("Content-Type", "application/sdp")] if description else [])]  # fmt: skip
         answer = response(invite, 200, extra, description, self.tag)
         self.dialog = dialogs.uas_dialog(invite, answer.need("To"))
-        self.front.legs[self.dialog.key] = self
-        self._answer = answer.encode()
+        self.front.legs_by_dialog[self.dialog.key] = self
+        self._ok_response = answer.encode()
         self.transaction.respond(answer)
         timers = self.front.settings.timers
-        self._repeat(timers.t1)
-        self.front.loop.call_later(timers.timeout, self._never_acknowledged)
+        self._retransmit_after(timers.t1)
+        self.front.loop.call_later(timers.timeout, self._on_ack_timeout)
 
     def progressed(self, name: str, progress: Progress, description: bytes) -> None:
-        """180 to 183. Another far end has another tag: it is an early dialog of its own (12.1)."""
+        """Send 180 to 183. Another UAS gets another tag, as it has an early dialog of its own (12.1)."""
         if progress is Progress.AGAIN:
             self.tag = self.front.token()
             return
-        if not self.open:
+        if not self.awaits_answer:
             return
         extra = [("Contact", self.front.endpoint.contact(self.transaction.hop)), ("Allow", ALLOW),
                  *(("Record-Route", value) for value in self.transaction.request.all("Record-Route")),
                  *([("Content-Type", "application/sdp")] if description else [])]  # fmt: skip
-        status = STATUSES[progress]
+        status = PROGRESS_STATUSES[progress]
         self.transaction.respond(response(self.transaction.request, status, extra, description, self.tag))
 
     def refused(self, name: str, pause: timedelta) -> None:
-        """503 with Retry-After, in whole seconds as SIP has it."""
-        if not self.open:
-            return  # given up while its record was being kept
+        """Send 503 with Retry-After, in whole seconds as SIP defines it."""
+        if not self.awaits_answer:
+            return  # abandoned while its record was being stored
         extra = [("Retry-After", str(max(1, -(-pause // SECOND))))] if pause > ZERO else []
-        self._final(503, extra)
+        self._send_final(503, extra)
 
     def failed(self, name: str) -> None:
-        """500."""
-        if not self.open:
+        """Send 500."""
+        if not self.awaits_answer:
             return
-        self._final(500, [])
+        self._send_final(500, [])
 
     def released(self, name: str, cause: int) -> None:
-        """BYE; not before the ACK (15.1.1)."""
+        """Send BYE, but not before the ACK has arrived (15.1.1)."""
         if not self.acknowledged:
-            self._released = cause
+            self._release_cause = cause
             return
         self.front.bye(self.dialog, self.transaction.hop, cause)
-        self._forget()
+        self._remove()
 
-    def heard_ack(self) -> None:
-        """The ACK of our 200."""
+    def ack_received(self) -> None:
+        """Handle the ACK of our 200."""
         if self.acknowledged:
             return
         self.acknowledged = True
-        if self._released is not None:
-            self.released(self.name, self._released)
+        if self._release_cause is not None:
+            self.released(self.name, self._release_cause)
 
-    def over(self) -> None:
-        """The client's BYE came."""
-        self._forget()
+    def dialog_ended(self) -> None:
+        """Remove the leg after the client's BYE."""
+        self._remove()
         self.acknowledged = True
 
-    def _final(self, status: int, extra: list[tuple[str, str]]) -> None:
+    def _send_final(self, status: int, extra: list[tuple[str, str]]) -> None:
         self.transaction.respond(response(self.transaction.request, status, extra, tag=self.tag))
-        self.front.forget(self)
+        self.front.remove_leg(self)
 
-    def _repeat(self, span: timedelta) -> None:
-        def again() -> None:
+    def _retransmit_after(self, span: timedelta) -> None:
+        def retransmit() -> None:
             if not self.acknowledged and self.transaction.state is State.ACCEPTED:
-                self.transaction.hop.send(self._answer)
+                self.transaction.hop.send(self._ok_response)
                 COUNTERS.add("sip.out.repeats")
-                self._repeat(min(2 * span, self.front.settings.timers.t2))
+                self._retransmit_after(min(2 * span, self.front.settings.timers.t2))
 
-        self.front.loop.call_later(span, again)
+        self.front.loop.call_later(span, retransmit)
 
-    def _never_acknowledged(self) -> None:
-        """13.3.1.4: the dialog stands, but is to be ended with a BYE."""
+    def _on_ack_timeout(self) -> None:
+        """Release a call whose 200 was never acknowledged: the dialog exists, so send BYE (13.3.1.4)."""
         if self.acknowledged or self.dialog is None:
             return
         COUNTERS.add("sip.never_acknowledged")
         self.acknowledged = True
-        if self._released is None:
+        if self._release_cause is None:
             self.front.switch.caller_released(self.name, NORMAL)
-        self.front.bye(self.dialog, self.transaction.hop, self._released or NORMAL)
-        self._forget()
+        self.front.bye(self.dialog, self.transaction.hop, self._release_cause or NORMAL)
+        self._remove()
 
-    def _forget(self) -> None:
+    def _remove(self) -> None:
         if self.dialog is not None:
-            self.front.legs.pop(self.dialog.key, None)
-        self.front.forget(self)
+            self.front.legs_by_dialog.pop(self.dialog.key, None)
+        self.front.remove_leg(self)
 
 
 class SipFront:
-    """The user of the transactions on both sides: it tells client legs from server legs by their dialogs."""
+    """The transaction user for both sides; it tells client legs from server legs by their dialogs."""
 
     def __init__(self, loop: Loop, switch: Switch, settings: SipSettings, seed: int) -> None:
         self.loop, self.switch, self.settings = loop, switch, settings
         self.first_choice: Callable[[str], int | None] = lambda _: None
-        self.legs: dict[dialogs.DialogKey, Leg] = {}
-        self.names: dict[str, Leg] = {}
-        self._asked: dict[Asked, Leg] = {}
-        self._asking: dict[ServerTransaction, Leg] = {}  # by the INVITE's transaction
-        self.server_legs: dict[dialogs.DialogKey, FarLeg] = {}
+        self.legs_by_dialog: dict[dialogs.DialogKey, Leg] = {}
+        self.legs_by_name: dict[str, Leg] = {}
+        self._by_merge_key: dict[MergeKey, Leg] = {}
+        self._by_transaction: dict[ServerTransaction, Leg] = {}  # by INVITE transaction, until the leg ends
+        self.server_legs: dict[dialogs.DialogKey, ServerSideLeg] = {}
         self.recorder: DialogRecorder | None = None
         self._random = random.Random(seed)
         self._count = 0
         self.endpoint = Endpoint(loop, settings.listen, settings.timers, self, settings.listen6)
-        self.endpoint.on_hop_lost = self._hop_lost
+        self.endpoint.on_hop_lost = self._on_hop_lost
         switch.lifecycle.satisfy(Need.LISTENING)
 
-    def forget(self, leg: Leg) -> None:
-        """A client's leg is over."""
-        self.names.pop(leg.name, None)
-        self._asking.pop(leg.transaction, None)
-        if self._asked.get(leg.asked) is leg:
-            del self._asked[leg.asked]
+    def remove_leg(self, leg: Leg) -> None:
+        """Remove a client leg that has ended."""
+        self.legs_by_name.pop(leg.name, None)
+        self._by_transaction.pop(leg.transaction, None)
+        if self._by_merge_key.get(leg.merge_key) is leg:
+            del self._by_merge_key[leg.merge_key]
 
     def token(self) -> str:
-        """A new tag, branch or Call-ID."""
+        """Return a new unique token for a tag, branch or Call-ID."""
         self._count += 1
         return f"{self._random.getrandbits(64):016x}{self._count:x}"
 
     def via(self, hop: Hop) -> str:
-        """A Via with a new branch."""
+        """Return a Via value with a new branch."""
         return self.endpoint.via(hop, MAGIC_COOKIE + self.token())
 
     def bye(self, dialog: Dialog | None, hop: Hop, cause: int) -> None:
-        """End a leg; its answer changes nothing."""
+        """End a leg with BYE; the response to it is ignored."""
         if dialog is None:
             return
         if isinstance(hop, TcpHop) and hop.connection.ended:
-            # The connection of its set-up is gone: the peer's Contact says where it is to be found.
+            # The connection of the set-up has ended: connect to the address in the peer's Contact.
             try:
                 address = host_port(dialog.target)
             except SipError:
@@ -253,8 +253,9 @@
         self.endpoint.transactions.send(dialog.request("BYE", self.via(hop), reason), hop, lambda _: None)
 
     def release_for(self, side: DialogState, cause: int) -> None:
-        """End a leg of a border controller that is gone, from our address, with its dialog's identifiers (RFC
-        3261, section 15). Its first route or its target says where the peer is; names are not looked up."""
+        """Release a leg of a failed border controller from our address, with its dialog's identifiers (RFC
+        3261, section 15). The peer's address is that of the first route or of the remote target; host names
+        are not resolved."""
         try:
             address = host_port(side.next_hop)
         except SipError:
@@ -266,25 +267,25 @@
             hop = TcpHop.dial(endpoint, address, self.settings.connect_wait)
         self.bye(side.dialog, hop, cause)
 
-    # --- the User of the transactions ---
+    # --- TransactionUser ---
 
     def handle_request(self, transaction: ServerTransaction) -> None:
-        """A new request of a client or a call server."""
+        """Handle a new request from a client or a call server."""
         message = transaction.request
         try:
             self._check(message)
             match message.method:
                 case "INVITE":
-                    self._invite(transaction)
+                    self._handle_invite(transaction)
                 case "CANCEL":
-                    self._cancel(transaction)
+                    self._handle_cancel(transaction)
                 case "BYE":
-                    self._bye(transaction)
+                    self._handle_bye(transaction)
                 case "OPTIONS":
                     extra = [("Allow", ALLOW), ("Accept", "application/sdp")]
                     transaction.respond(response(message, 200, extra, tag=self.token()))
                 case method:
-                    known = method in KNOWN_METHODS
+                    known = method in NOT_ALLOWED_METHODS
                     COUNTERS.add("sip.in.not_allowed" if known else "sip.in.unknown")
                     transaction.respond(
                         response(message, 405 if known else 501, [("Allow", ALLOW)], tag=self.token())
@@ -295,24 +296,24 @@
             transaction.respond(response(message, error.status, unsupported, tag=self.token()))
 
     def request_failed(self, transaction: ServerTransaction) -> None:
-        """Serving a request went wrong: its call is given up, and its client hears 500."""
-        leg = self._asking.get(transaction)
-        if leg is not None and leg.open:
+        """Abandon the call of a request whose handling failed, and answer it with 500."""
+        leg = self._by_transaction.get(transaction)
+        if leg is not None and leg.awaits_answer:
             self.switch.caller_abandoned(leg.name)
-            self.forget(leg)
+            self.remove_leg(leg)
         if transaction.state in (State.TRYING, State.PROCEEDING):
             transaction.respond(response(transaction.request, 500, tag=self.token()))
 
     def handle_ack(self, message: Message) -> None:
-        """The ACK of a 200."""
-        leg = self.legs.get(dialogs.dialog_key(message))
+        """Handle the ACK of a 200."""
+        leg = self.legs_by_dialog.get(dialogs.dialog_key(message))
         if leg is None:
             COUNTERS.add("sip.in.dropped")
         else:
-            leg.heard_ack()
+            leg.ack_received()
 
     def unmatched_response(self, message: Message, hop: Hop) -> None:
-        """A response to nothing known: dropped. A 2xx that comes so late was released when it was current."""
+        """Drop an unmatched response. The call of so late a 2xx was released when the 2xx first arrived."""
         COUNTERS.add("sip.in.dropped")
 
     @staticmethod
@@ -322,69 +323,70 @@
         if message.get("Require") and message.method not in ("CANCEL", "ACK"):
             raise SipError(420, "an extension is required")
 
-    def _invite(self, transaction: ServerTransaction) -> None:
+    def _handle_invite(self, transaction: ServerTransaction) -> None:
         message = transaction.request
         if parameter(message.need("To"), "tag") is not None:
             key = dialogs.dialog_key(message)
-            known = key in self.legs or key in self.server_legs
-            # The description of a call that stands is not changed here: it goes on as it is.
+            known = key in self.legs_by_dialog or key in self.server_legs
+            # The session description of an established call cannot be changed; the call continues as it is.
             transaction.respond(response(message, 488 if known else 481))
             return
         if not message.get("Contact"):
             raise SipError(400, "Contact is missing")
-        if asked_by(message) in self._asked:
-            raise SipError(482, "the same call came another way")  # 8.2.2.2: it would be set up twice
+        if request_merge_key(message) in self._by_merge_key:
+            # 8.2.2.2: the call would be set up twice.
+            raise SipError(482, "merged request: the same call arrived by another path")
         if self.switch.lifecycle.shutdown is not None:
             COUNTERS.add("sip.refused_leaving")
-            extra = [("Retry-After", str(LEAVING_RETRY // SECOND))]
+            extra = [("Retry-After", str(SHUTDOWN_RETRY_AFTER // SECOND))]
             transaction.respond(response(message, 503, extra, tag=self.token()))
             return
         number = user_of(message.uri)
         kind = self.settings.class_of(number, message.get("X-Cos"))
-        wait = self._wait(message, kind)
+        wait = self._answer_timeout(message, kind)
         transaction.respond(response(message, 100))
         name = f"sip-{self.token()}"
-        leg = self.names[name] = Leg(self, transaction, name, self.token())
-        self._asked[leg.asked] = self._asking[transaction] = leg
-        leaves_at = self.loop.clock.now() + wait
+        leg = self.legs_by_name[name] = Leg(self, transaction, name, self.token())
+        self._by_merge_key[leg.merge_key] = self._by_transaction[transaction] = leg
+        gives_up_at = self.loop.clock.now() + wait
         offer = Offer(
             name=name,
             call_class=kind,
             number=number,
             first_choice=self.first_choice(number),
-            answer_by=leaves_at - ANSWER_EARLY,
+            answer_by=gives_up_at - ANSWER_MARGIN,
             description=message.body,
-            caller_gives_up_at=leaves_at,
+            caller_gives_up_at=gives_up_at,
             reference=message.call_id,
         )
         if not self.switch.offer(offer, leg):
             leg.failed(name)
 
-    def _wait(self, message: Message, kind: str) -> timedelta:
-        """How long the caller waits: its Expires, but no longer than its class does."""
+    def _answer_timeout(self, message: Message, kind: str) -> timedelta:
+        """Return how long the caller waits: its Expires, but at most the time of its class."""
         text = message.get("Expires")
-        usual = self.settings.waits[kind]
+        class_wait = self.settings.waits[kind]
         if text is None:
-            return usual
+            return class_wait
         if not text.isdecimal() or len(text) > 9:
             raise SipError(400, "Expires is not a number of seconds")
-        return min(usual, int(text) * SECOND)
+        return min(class_wait, int(text) * SECOND)
 
-    def _cancel(self, transaction: ServerTransaction) -> None:
+    def _handle_cancel(self, transaction: ServerTransaction) -> None:
         invite = self.endpoint.transactions.find_cancelled_invite(transaction.request)
         if invite is None:
             transaction.respond(response(transaction.request, 481, tag=self.token()))
             return
-        leg = self._asking.get(invite)
+        leg = self._by_transaction.get(invite)
         transaction.respond(response(transaction.request, 200, tag=leg.tag if leg else self.token()))
-        if leg is not None and leg.open:
+        if leg is not None and leg.awaits_answer:
             self.switch.caller_abandoned(leg.name)
-            leg._final(487, [])
+            leg._send_final(487, [])
 
-    def _bye(self, transaction: ServerTransaction) -> None:
+    def _handle_bye(self, transaction: ServerTransaction) -> None:
         message = transaction.request
         key = dialogs.dialog_key(message)
-        leg, server_leg = self.legs.get(key), self.server_legs.get(key)
+        leg, server_leg = self.legs_by_dialog.get(key), self.server_legs.get(key)
         dialog = leg.dialog if leg else server_leg.dialog if server_leg else None
         if dialog is None:
             transaction.respond(response(message, 481))
@@ -393,18 +395,18 @@
         else:
             transaction.respond(response(message, 200))
             if leg is not None:
-                leg.over()
+                leg.dialog_ended()
                 self.switch.caller_released(leg.name, cause_of(message))
             elif server_leg is not None:
-                server_leg.over()
+                server_leg.dialog_ended()
                 self.switch.server_released(server_leg.setup.name, cause_of(message))
 
-    def _hop_lost(self, open_ones: list[ServerTransaction]) -> None:
-        """A client's connection broke: who set up a call over it is gone, and nobody else can be answered."""
-        for transaction in open_ones:
-            leg = self._asking.get(transaction)
-            if leg is not None and leg.open:
+    def _on_hop_lost(self, transactions: list[ServerTransaction]) -> None:
+        """Abandon the calls being set up over a lost client connection: their callers cannot be answered."""
+        for transaction in transactions:
+            leg = self._by_transaction.get(transaction)
+            if leg is not None and leg.awaits_answer:
                 COUNTERS.add("sip.clients_lost")
                 self.switch.caller_abandoned(leg.name)
                 leg.transaction.end()
-                self.forget(leg)
+                self.remove_leg(leg)
--- a/reedmount/sip/dialog.py
+++ b/reedmount/sip/dialog.py
@@ -39,10 +39,10 @@
 
     def in_order(self, message: Message) -> bool:
         """Whether a request of the peer has a higher CSeq number than all before it (12.2.2)."""
-        cseq = message.cseq[0]
-        if cseq <= self.remote_cseq:
+        number = message.cseq[0]
+        if number <= self.remote_cseq:
             return False
-        self.remote_cseq = cseq
+        self.remote_cseq = number
         return True
 
 
--- a/reedmount/sip/endpoint.py
+++ b/reedmount/sip/endpoint.py
@@ -238,15 +238,15 @@
     def _response_hop(self, message: Message, hop: UdpHop) -> UdpHop:
         """Return the hop for responses: the source address; the Via port unless rport is set (RFC 3581)."""
         via = top_via(message)
-        host, port_number = hop.address[:2]
+        host, number = hop.address[:2]
         if parameter(via, "rport") is not None:
-            mark_source(message, f";received={host}", f";rport={port_number}")
+            mark_source(message, f";received={host}", f";rport={number}")
             return hop
         sent_from, port = split_host_port(via.partition(";")[0].split()[-1])
         if sent_from != host:
             mark_source(message, f";received={host}", "")
-        port_number = int(port) if port.isdecimal() and len(port) < 6 and 0 < int(port) < 65536 else 5060
-        return self.udp_hop((host, port_number))
+        number = int(port) if port.isdecimal() and len(port) < 6 and 0 < int(port) < 65536 else 5060
+        return self.udp_hop((host, number))
 
     def _accept(self, sock: socket.socket) -> None:
         if len(self._hops) >= MAX_CONNECTIONS:
--- a/reedmount/sip/transaction.py
+++ b/reedmount/sip/transaction.py
@@ -201,7 +201,7 @@
             self._retransmit_after(layer.timers.t1)  # timers A and E
         self._start_timer(layer.timers.timeout, self._on_timeout)  # timers B and F
 
-    def handle_response(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         """Handle a response."""
         if self.state is State.TERMINATED:
             return
@@ -287,7 +287,7 @@
 
 
 class TransactionUser(Protocol):
-    """The transaction user (RFC 3261, section 5): the layer above the transactions."""
+    """The transaction user (RFC 3261): the layer above the transactions."""
 
     def handle_request(self, transaction: ServerTransaction) -> None:
         """Handle a new request."""
@@ -329,7 +329,7 @@
                 run_isolated("sip.response", lambda: self._user.unmatched_response(message, hop))
             else:
                 found = client
-                run_isolated("sip.response", lambda: found.handle_response(message), found.abandon)
+                run_isolated("sip.response", lambda: found.handle_message(message), found.abandon)
             return
         key = server_transaction_key(message)
         server = self._server_transactions.get(key)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -136,8 +136,8 @@
     site.run(15 * S)
     calls = list(callers.calls.values())
     assert calls and keeper.waiting and all(not call.finals for call in calls)
-    for leg in list(site.front.names.values()):
-        leg._final(487, [])
+    for leg in list(site.front.legs_by_name.values()):
+        leg._send_final(487, [])
     for go_on in keeper.waiting:
         go_on()
     site.run(S)
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -92,7 +92,7 @@
         {client} send 200 BYE
     """
     )
-    assert stage.switch.is_idle and not stage.front.legs and not stage.front.server_legs
+    assert stage.switch.is_idle and not stage.front.legs_by_dialog and not stage.front.server_legs
 
 
 def test_a_refusal_tells_when_to_come_back_and_its_repeat_gets_the_same_answer() -> None:
@@ -340,7 +340,7 @@
     stage = Sip("server")
     stage.play(call("desk", "server"))
     desk = stage.peers["desk"]
-    dialog = next(iter(stage.front.legs.values())).dialog
+    dialog = next(iter(stage.front.legs_by_dialog.values())).dialog
     home = stage.peer("home", "tcp")
     assert dialog is not None and desk.sock is not None
     dialog.target = f"sip:c1@{HOST}:{home.port}"
@@ -511,7 +511,7 @@
     assert COUNTERS["faults.sip.request"] == before + 1
     stage.play(call("phone", "server", "c3") + "phone send BYE c1\n phone expect 200 c1\n server expect BYE")
     stage.wait(timedelta(seconds=40))
-    assert len(stage.front.names) <= 1 and not stage.switch.unanswered
+    assert len(stage.front.legs_by_name) <= 1 and not stage.switch.unanswered
 
 
 def test_a_fault_in_serving_a_response_is_an_attempt_without_an_answer(
@@ -556,7 +556,7 @@
     side = stage.switch._servers
     assert isinstance(side, SipServers)
     posted: list[str] = []
-    for name, peer in side._peers.items():
+    for name, peer in side._by_name.items():
 
         def post(item: object, name: str = name, plain: Callable[[Any], None] = peer.post) -> None:
             posted.append(f"{name} {type(item).__name__}")
@@ -571,12 +571,12 @@
     stage.play(f"{asked} send 487 INVITE")
     assert [word for word in posted if "CancelSetup" in word] == [f"{asked} CancelSetup"]
     stage.play(f"{asked} expect ACK")
-    assert not side._out
+    assert not side._open_attempts
     gone = [ListedServer(name, (HOST, stage.peers[name].port), number, False, True, None, kind)
             for number, name in enumerate(names, 1)]  # fmt: skip
     stage.switch.pool_changed(9, i.ListKind.CHANGES, gone)
     stage.wait(timedelta(seconds=40))
-    assert not side._peers
+    assert not side._by_name
 
 
 def test_a_server_that_was_removed_is_kept_while_a_call_stands_there() -> None:
@@ -587,17 +587,17 @@
     gone = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
     stage.switch.pool_changed(9, i.ListKind.CHANGES, [gone])
     stage.wait(timedelta(seconds=1))
-    assert list(side._peers) == ["server"]
+    assert list(side._by_name) == ["server"]
     stage.play("phone send BYE c1\n phone expect 200 c1\n server expect BYE\n server send 200 BYE")
     stage.wait(timedelta(seconds=1))
-    assert not side._peers
+    assert not side._by_name
 
 
 def test_a_connection_that_ends_leaves_no_transaction_behind() -> None:
     stage = Sip("server")
     stage.play("desk send INVITE c1\n desk expect 100 c1\n server expect INVITE\n desk send OPTIONS o1")
     stage.play("desk expect 200 o1\n desk close\n wait 100")
-    assert not stage.front.endpoint.transactions._by_hop and not stage.front._asking
+    assert not stage.front.endpoint.transactions._by_hop and not stage.front._by_transaction
 
 
 def test_a_set_up_that_crosses_the_removal_of_its_server_ends_and_is_not_lost() -> None:
@@ -605,14 +605,14 @@
     stage = Sip("server", "other", max_attempts=2)
     side = stage.switch._servers
     assert isinstance(side, SipServers)
-    peer = side._peers["server"]
+    peer = side._by_name["server"]
     gone = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
     ended: list[tuple[str, i.Outcome]] = []
     stage.switch.attempt_ended = lambda name, attempt, outcome, *_: ended.append((name, outcome))  # type: ignore[method-assign]
     peer.post(gone)
     side.send(Setup("late", 0, "server", "small", "100", WAIT, b""))
     stage.wait(timedelta(milliseconds=50))
-    assert ended == [("late", i.Outcome.NOT_SENT)] and list(side._peers) == ["other"]
+    assert ended == [("late", i.Outcome.NOT_SENT)] and list(side._by_name) == ["other"]
 
 
 def test_callers_hear_how_far_it_has_come_each_time_and_not_100() -> None:
