--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -19,7 +19,7 @@
 from reedmount.sources.lists import ZoneSource
 from reedmount.sources.pool_host import PoolHost, PoolSettings
 from tests.scenario import HOST
-from tests.test_sip import Sip
+from tests.test_sip import SipStage
 
 ZONE = """$ORIGIN calls.example.
 $TTL 60
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("over_tcp", [False, True])
 def test_an_update_over_the_network_drains_a_server_at_once(tmp_path: Path, over_tcp: bool) -> None:
-    stage = Sip(cold_us=0)
+    stage = SipStage(cold_us=0)
     stage.peer("server", "udp")
     stage.peer("fresh", "udp")
     path = zone_file(tmp_path, port=stage.peers["server"].port)
--- a/tests/test_message.py
+++ b/tests/test_message.py
@@ -1,4 +1,4 @@
-"""SIP messages: reading, framing, and keys of transactions and dialogs."""
+"""SIP messages: parsing, framing, and the keys of transactions and dialogs."""
 
 from __future__ import annotations
 
@@ -22,24 +22,26 @@
 )
 from reedmount.sip.transaction import server_transaction_key
 
-OLD = (
+RFC2543_INVITE = (
     "INVITE sip:0800@net SIP/2.0\r\nv: SIP/2.0/UDP old:5060\r\nf: <sip:a@b>;tag=1\r\nt: <sip:c@d>\r\n"
     "i: x1\r\nCSeq: 7 INVITE\r\nSubject: one\r\n two\r\n\tthree\r\nl: 2\r\n\r\nab"
 )
 
 
-def test_compact_and_folded_headers_are_read_by_their_long_names() -> None:
-    message = parse_datagram(OLD.encode())
+def test_compact_and_folded_headers_are_found_by_their_long_names() -> None:
+    message = parse_datagram(RFC2543_INVITE.encode())
     assert (message.call_id, message.cseq, message.body) == ("x1", (7, "INVITE"), b"ab")
     assert message.get("subject") == "one two three" and message.get("Via") == "SIP/2.0/UDP old:5060"
 
 
-def test_a_request_without_a_branch_is_matched_by_what_it_is() -> None:
-    """Clients older than RFC 3261 put no branch into Via: all their calls would be one transaction."""
-    first = parse_datagram(OLD.encode())
-    again = parse_datagram(OLD.encode())
-    other = parse_datagram(OLD.replace("x1", "x2").encode())
-    ack = parse_datagram(OLD.replace("INVITE sip", "ACK sip").replace("7 INVITE", "7 ACK").encode())
+def test_requests_without_a_branch_are_matched_by_their_other_headers() -> None:
+    """RFC 2543 clients send no branch in Via: matched by it, all their calls would be one transaction."""
+    first = parse_datagram(RFC2543_INVITE.encode())
+    again = parse_datagram(RFC2543_INVITE.encode())
+    other = parse_datagram(RFC2543_INVITE.replace("x1", "x2").encode())
+    ack = parse_datagram(
+        RFC2543_INVITE.replace("INVITE sip", "ACK sip").replace("7 INVITE", "7 ACK").encode()
+    )
     assert (
         server_transaction_key(first)
         == server_transaction_key(again)
@@ -59,16 +61,16 @@
         ("\r\n\r\nab", "\r\n", 400),
     ],
 )
-def test_malformed_messages_are_refused(old: str, new: str, status: int) -> None:
+def test_malformed_messages_are_rejected_with_their_status(old: str, new: str, status: int) -> None:
     with pytest.raises(SipError) as caught:
-        parse_datagram(OLD.replace(old, new, 1).encode())
+        parse_datagram(RFC2543_INVITE.replace(old, new, 1).encode())
     assert caught.value.status == status
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=300), st.integers(0, 250), st.integers(0, 40))
-def test_whatever_comes_is_read_or_refused(noise: bytes, at: int, cut: int) -> None:
-    data = OLD.encode()
+def test_any_datagram_is_either_parsed_or_rejected_with_a_status(noise: bytes, at: int, cut: int) -> None:
+    data = RFC2543_INVITE.encode()
     for wire in (noise, data[:at] + noise + data[at + cut :]):
         try:
             message = parse_datagram(wire)
@@ -79,9 +81,11 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, 90), min_size=1, max_size=40), st.lists(st.binary(max_size=60), max_size=5))
-def test_a_stream_is_cut_into_its_messages_wherever_it_is_split(cuts: list[int], bodies: list[bytes]) -> None:
-    asked = [request("OPTIONS", "sip:a@b", [("Call-ID", "x")], body).encode() for body in bodies]
-    wire = b"".join(b"\r\n" + message for message in asked)
+def test_a_stream_is_framed_into_messages_however_it_is_segmented(
+    cuts: list[int], bodies: list[bytes]
+) -> None:
+    requests = [request("OPTIONS", "sip:a@b", [("Call-ID", "x")], body).encode() for body in bodies]
+    wire = b"".join(b"\r\n" + message for message in requests)
     ring, found = Ring(32768), []
     turn = 0
     while wire:
@@ -93,7 +97,7 @@
     assert found == bodies
 
 
-def test_a_stream_out_of_step_or_too_long_is_refused() -> None:
+def test_a_stream_message_without_a_length_or_above_the_maximum_size_is_rejected() -> None:
     for data, status in (
         (b"OPTIONS sip:a@b SIP/2.0\r\nCall-ID: x\r\n\r\n", 400),
         (b"OPTIONS sip:a@b SIP/2.0\r\nContent-Length: 16384\r\n\r\n", 513),
@@ -106,7 +110,7 @@
         assert caught.value.status == status
 
 
-def test_values_are_split_at_commas_outside_quotes_and_brackets() -> None:
+def test_header_values_are_split_at_commas_outside_quotes_and_brackets_and_uris_are_parsed() -> None:
     assert header_values('"a, b" <sip:c,d@e>, <sip:f>;x=1') == ['"a, b" <sip:c,d@e>', "<sip:f>;x=1"]
     assert user_of("sip:0800;x=1@net") == "0800" and user_of("sips:net") == ""
     assert host_port("sip:a@b;transport=tcp") == ("b", 5060) and host_port("sip:b:70") == ("b", 70)
@@ -115,7 +119,7 @@
             host_port(uri)
 
 
-def test_a_dialog_s_route_is_turned_round_for_the_caller_and_its_key_fits() -> None:
+def test_the_uac_reverses_the_route_set_and_its_dialog_key_matches_the_peer_s_requests() -> None:
     headers = [("From", "<sip:us@a>;tag=1"), ("To", "<sip:them@b>"), ("Call-ID", "x"), ("CSeq", "1 INVITE")]
     invite = request("INVITE", "sip:them@b", headers)
     extra = [("Record-Route", "<sip:p1>, <sip:p2>"), ("Contact", "<sip:them@c:9>")]
@@ -124,17 +128,17 @@
     bye = dialog.request("BYE", "SIP/2.0/UDP us;branch=z9hG4bK1")
     assert bye.uri == "sip:them@c:9" and bye.all("Route") == ["<sip:p2>", "<sip:p1>"]
     assert bye.cseq == (2, "BYE")
-    theirs = parse_head(
+    peer_bye = parse_head(
         b"BYE sip:us@a SIP/2.0\r\nCall-ID: x\r\nFrom: <sip:them@b>;tag=2\r\n"
         b"To: <sip:us@a>;tag=1\r\nCSeq: 5 BYE"
     )
-    assert dialog_key(theirs) == dialog.key
-    assert dialog.in_order(theirs) and not dialog.in_order(theirs)
-    assert isinstance(theirs, Message)
+    assert dialog_key(peer_bye) == dialog.key
+    assert dialog.in_order(peer_bye) and not dialog.in_order(peer_bye)
+    assert isinstance(peer_bye, Message)
 
 
 def test_a_header_folded_right_after_its_colon_has_no_space_before_its_value() -> None:
-    """Found by mutation: `CSeq:` and its value on the next line (RFC 3261, 7.3.1) was answered 400."""
+    """Found by mutation: `CSeq:` with its value on the next line (RFC 3261, 7.3.1) was answered with 400."""
     lines = ["OPTIONS sip:a@b SIP/2.0", "CSeq:", " 1 OPTIONS", "Subject: one", "\ttwo", "", ""]
     message = parse_datagram("\r\n".join(lines).encode())
     assert message.cseq == (1, "OPTIONS") and message.get("Subject") == "one two"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The loop, rings, connections, counters and invariants."""
+"""Event loop, ring buffers, connections, counters and invariants."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from tests.scenario import HOST, VirtualTime, crowded
 
 
-def test_the_ring_keeps_order_over_its_seam_and_its_bound() -> None:
-    ring, fed, read = Ring(5000), bytearray(), bytearray()
+def test_a_ring_keeps_the_byte_order_across_its_end_and_rejects_data_beyond_its_capacity() -> None:
+    ring, written, read = Ring(5000), bytearray(), bytearray()
     for turn in range(200):
         chunk = bytes([turn % 251]) * (turn * 37 % 900)
         if ring.write(chunk):
-            fed += chunk
+            written += chunk
         part = ring.peek(turn * 53 % 700)
         ring.drop(len(part))
         read += part
     read += ring.peek()
-    assert read == fed
+    assert read == written
     assert not ring.write(b"x" * (ring.room + 1)) and ring.write(b"x" * ring.room)
 
 
@@ -41,24 +41,24 @@
     assert whole_millis(span(1)) == 1 and whole_millis(span(2000)) == 2
 
 
-def test_timers_come_in_order_and_cancelled_ones_not() -> None:
-    time, seen = VirtualTime(), list[str]()
+def test_timers_run_in_the_order_of_their_times_and_cancelled_ones_do_not_run() -> None:
+    time, called = VirtualTime(), list[str]()
     loop = Loop(time.clock)
-    loop.call_later(timedelta(seconds=2), lambda: seen.append("late"))
-    loop.call_later(timedelta(seconds=1), lambda: seen.append("early"))
-    loop.call_later(timedelta(seconds=1), lambda: seen.append("never")).cancel()
+    loop.call_later(timedelta(seconds=2), lambda: called.append("late"))
+    loop.call_later(timedelta(seconds=1), lambda: called.append("early"))
+    loop.call_later(timedelta(seconds=1), lambda: called.append("never")).cancel()
     loop.turn(ZERO)
-    assert not seen
+    assert not called
     time.seconds = 3.0
     loop.turn(ZERO)
-    assert seen == ["early", "late"]
+    assert called == ["early", "late"]
 
 
-def test_an_actor_takes_what_it_is_sent_in_order_also_from_itself() -> None:
-    loop, seen = Loop(VirtualTime().clock), list[int]()
+def test_an_actor_handles_items_in_the_order_of_posting_including_its_own() -> None:
+    loop, handled = Loop(VirtualTime().clock), list[int]()
 
     def handle(item: int) -> None:
-        seen.append(item)
+        handled.append(item)
         if item < 3:
             actor.post(item + 10)
 
@@ -66,17 +66,17 @@
     for item in range(3):
         actor.post(item)
     loop.turn(ZERO)
-    assert seen == [0, 1, 2, 10, 11, 12]
+    assert handled == [0, 1, 2, 10, 11, 12]
 
 
-def dial(address: tuple[str, int], wait: timedelta) -> tuple[Loop, VirtualTime, list[EndReason]]:
+def dial(address: tuple[str, int], timeout: timedelta) -> tuple[Loop, VirtualTime, list[EndReason]]:
     time, ends = VirtualTime(), list[EndReason]()
     loop = Loop(time.clock)
-    Connection.dial(loop, address, wait, lambda _: None, lambda _, how: ends.append(how))
+    Connection.dial(loop, address, timeout, lambda _: None, lambda _, reason: ends.append(reason))
     return loop, time, ends
 
 
-def test_a_refused_connection_and_one_that_never_comes_up_are_told_apart() -> None:
+def test_a_refused_connection_and_a_connect_timeout_have_different_end_reasons() -> None:
     with socket.create_server((HOST, 0)) as server:
         closed = server.getsockname()
     loop, _, ends = dial(closed, timedelta(seconds=1))
@@ -92,7 +92,7 @@
         assert ends == [EndReason.NEVER_UP]
 
 
-def test_a_peer_that_reads_nothing_is_given_up() -> None:
+def test_a_peer_that_reads_nothing_is_disconnected() -> None:
     left, right = socket.socketpair(socket.AF_UNIX)
     right.close()
     with socket.create_server((HOST, 0)) as server:
@@ -101,7 +101,7 @@
     left.close()
     ends: list[EndReason] = []
     loop = Loop(VirtualTime().clock)
-    connection = Connection(loop, out, lambda _: None, lambda _, how: ends.append(how))
+    connection = Connection(loop, out, lambda _: None, lambda _, reason: ends.append(reason))
     for _ in range(2000):
         connection.send(b"x" * 16384)
         loop.turn(ZERO)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "host", "host:", ":1", "host:70000", "host:x"])
-def test_bad_addresses_are_refused(text: str) -> None:
+def test_malformed_addresses_are_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         parse_address(text)
 
@@ -133,7 +133,7 @@
     assert done.stdout.strip() == "broken.one=1 faults=1"
 
 
-def test_counters_print_in_the_order_of_their_names() -> None:
+def test_counters_are_printed_in_the_order_of_their_names() -> None:
     counters = Counters()
     assert counters.text() == "nothing counted"
     counters.add("b")
@@ -141,11 +141,11 @@
     assert counters.text() == "a=2 b=1" and counters["none"] == 0
 
 
-def test_a_crowd_waits_at_the_listener_while_a_turn_is_long() -> None:
-    """With room for 512 the others were left to try again a second later."""
+def test_the_backlog_holds_a_burst_of_connections_while_the_loop_is_busy() -> None:
+    """With a backlog of 512 the connections beyond it were only retried a second later."""
     listener = bind((HOST, 0))
-    crowd = []
+    clients = []
     for _ in range(600):
-        crowd.append(socket.create_connection(listener.getsockname(), 0.9))
-    for sock in (listener, *crowd):
+        clients.append(socket.create_connection(listener.getsockname(), 0.9))
+    for sock in (listener, *clients):
         sock.close()
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -1,4 +1,4 @@
-"""The SIP front, played in scenarios: clients and call servers over UDP and TCP."""
+"""Scenarios of the SIP front: clients and call servers over UDP and TCP."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from tests.support import MS, SETTINGS
 
 WAIT = timedelta(seconds=2)
-RUNG = """phone send INVITE c1
+INVITE_REACHES_SERVER = """phone send INVITE c1
         phone expect 100 c1
         server expect INVITE"""
 
 
-class Sip(Stage):
-    """A controller with the SIP front, a UDP phone, a TCP phone and servers of one kind."""
+class SipStage(Stage):
+    """A border controller with the SIP front, a UDP client, a TCP client and servers of one transport."""
 
     def __init__(self, *servers: str, kind: str = "udp", **changes: object) -> None:
         super().__init__()
@@ -48,9 +48,9 @@
         for name in servers:
             self.peer(name, kind)
         self.kind = kind
-        self.tell(*servers)
+        self.publish_servers(*servers)
 
-    def tell(self, *names: str, serving: bool = True, version: int = 1) -> None:
+    def publish_servers(self, *names: str, serving: bool = True, version: int = 1) -> None:
         entries = [
             ListedServer(name, (HOST, self.peers[name].port), number, serving, False, None, self.kind)
             for number, name in enumerate(names, 1)
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("kind", ["udp", "tcp"])
 @pytest.mark.parametrize("client", ["phone", "desk"])
 def test_a_call_is_set_up_and_released_from_either_side(client: str, kind: str) -> None:
-    stage = Sip("server", kind=kind)
+    stage = SipStage("server", kind=kind)
     stage.play(
         call(client, "server")
         + f"""
@@ -95,9 +95,9 @@
     assert stage.switch.is_idle and not stage.front.legs_by_dialog and not stage.front.server_legs
 
 
-def test_a_refusal_tells_when_to_come_back_and_its_repeat_gets_the_same_answer() -> None:
-    """A UDP retransmission after the refusal: the answer is replayed, and there is no new call."""
-    stage = Sip()
+def test_a_refusal_has_retry_after_and_a_retransmitted_invite_gets_the_same_response() -> None:
+    """A retransmission over UDP after the refusal: the response is sent again, and no new call is started."""
+    stage = SipStage()
     taken = COUNTERS["calls.taken"]
     stage.play("""
         phone send INVITE c1
@@ -113,8 +113,8 @@
     assert COUNTERS["calls.taken"] == taken + 1
 
 
-def test_a_refusal_is_repeated_until_its_ack() -> None:
-    stage = Sip()
+def test_a_refusal_is_retransmitted_until_its_ack() -> None:
+    stage = SipStage()
     phone = stage.peers["phone"]
     take, phone.take = phone.take, phone.inbox.append  # type: ignore[method-assign, assignment]
     stage.play("""
@@ -134,31 +134,31 @@
     """)
 
 
-def test_a_repeated_invite_is_one_call() -> None:
-    stage = Sip("server")
+def test_a_retransmitted_invite_starts_no_second_call() -> None:
+    stage = SipStage("server")
     stage.play(f"""
         phone send INVITE c1
         phone expect 100 c1
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         server expect nothing
     """)
 
 
 def test_the_same_call_over_both_transports_is_one_call() -> None:
-    """A client that tries TCP when UDP seems slow: its call was set up twice."""
-    stage = Sip("server")
+    """A client that changed to TCP when UDP seemed slow had its call set up twice."""
+    stage = SipStage("server")
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         desk send INVITE c1 branch=other
         desk expect 482 c1
         server expect nothing
     """)
 
 
-def test_our_own_invite_is_repeated_over_udp_as_the_same_transaction() -> None:
-    stage = Sip("server")
+def test_our_invite_is_retransmitted_over_udp_in_the_same_transaction() -> None:
+    stage = SipStage("server")
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         wait 520
         server expect INVITE
     """)
@@ -166,9 +166,9 @@
     assert first.encode() == second.encode()
 
 
-def test_a_tcp_reset_halfway_through_an_invite() -> None:
-    """The pause is kept, no second copy goes out before it, and there is one final answer."""
-    stage = Sip("server", "second", kind="tcp")
+def test_a_tcp_reset_during_an_invite_leads_to_one_retry_and_one_final_response() -> None:
+    """No second INVITE goes out before the pause has passed, and the client gets one final response."""
+    stage = SipStage("server", "second", kind="tcp")
     stage.play("""
         desk send INVITE c1
         desk expect 100 c1
@@ -194,9 +194,9 @@
 
 
 def test_cancel_gets_200_and_the_invite_487() -> None:
-    stage = Sip("server")
+    stage = SipStage("server")
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         server send 180 INVITE
         phone expect 180 c1
         phone send CANCEL c1
@@ -212,11 +212,11 @@
     assert stage.switch.is_idle
 
 
-def test_no_cancel_goes_out_before_something_was_heard() -> None:
-    """RFC 3261, 9.1: it waits for the first provisional answer, and the INVITE is not repeated meanwhile."""
-    stage = Sip("server")
+def test_no_cancel_is_sent_before_a_provisional_response() -> None:
+    """RFC 3261, 9.1: CANCEL waits for a provisional response; the INVITE is not retransmitted meanwhile."""
+    stage = SipStage("server")
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         phone send CANCEL c1
         phone expect 200 c1
         phone expect 487 c1
@@ -228,9 +228,9 @@
 
 
 def test_a_200_that_crosses_the_cancel_is_acknowledged_and_released() -> None:
-    stage = Sip("server")
+    stage = SipStage("server")
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         server send 180 INVITE
         phone expect 180 c1
         phone send CANCEL c1
@@ -244,8 +244,8 @@
     """)
 
 
-def test_the_final_answer_comes_by_the_deadline() -> None:
-    stage = Sip("server", kind="tcp")
+def test_the_final_response_is_sent_by_the_deadline() -> None:
+    stage = SipStage("server", kind="tcp")
     stage.play("""
         desk send INVITE c1 expires=1
         desk expect 100 c1
@@ -260,10 +260,10 @@
     """)
 
 
-def test_errors_of_servers_end_in_one_refusal() -> None:
-    stage = Sip("server", max_attempts=1)
+def test_a_server_error_leads_to_one_refusal() -> None:
+    stage = SipStage("server", max_attempts=1)
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         server send 503 INVITE
         server expect ACK
         phone expect 503 c1 retry-after=*
@@ -271,10 +271,10 @@
     """)
 
 
-def test_a_server_that_drains_gets_nothing_more_and_keeps_its_calls() -> None:
-    stage = Sip("server")
+def test_a_draining_server_gets_no_new_calls_and_keeps_established_ones() -> None:
+    stage = SipStage("server")
     stage.play(call("phone", "server"))
-    stage.tell("server", serving=False, version=2)
+    stage.publish_servers("server", serving=False, version=2)
     stage.play("""
         desk send INVITE c2
         desk expect 100 c2
@@ -286,8 +286,8 @@
     """)
 
 
-def test_what_cannot_be_taken_is_answered_or_dropped() -> None:
-    stage = Sip("server")
+def test_requests_that_are_not_accepted_are_answered_with_their_status() -> None:
+    stage = SipStage("server")
     stage.play("""
         phone send OPTIONS o1
         phone expect 200 o1 allow=*
@@ -313,8 +313,8 @@
     """)
 
 
-def test_malformed_bytes_are_counted_and_the_rest_goes_on() -> None:
-    stage = Sip("server")
+def test_malformed_messages_are_counted_or_answered_and_do_not_affect_others() -> None:
+    stage = SipStage("server")
     dropped, phone = COUNTERS["sip.in.dropped"], stage.peers["phone"]
     phone.write(b"\x00\xff not SIP at all\r\n\r\n")
     phone.write(phone.request("OPTIONS", "long", {}, b"x" * 20_000).encode())
@@ -327,17 +327,17 @@
     stage.play("desk expect 513 long\n desk expect CLOSED")
 
 
-def test_a_200_is_repeated_and_a_call_never_acknowledged_is_ended() -> None:
-    stage = Sip("server")
+def test_a_200_is_retransmitted_and_a_call_without_ack_is_released() -> None:
+    stage = SipStage("server")
     phone = stage.peers["phone"]
     phone.take = phone.inbox.append  # type: ignore[method-assign, assignment]
     stage.play(call("phone", "server") + "\nwait 520\nphone expect 200 c1\nwait 33000\nserver expect BYE")
     assert phone.inbox[-1].method == "BYE"
 
 
-def test_a_release_finds_a_tcp_client_whose_connection_has_closed() -> None:
-    """Its BYE went into the closed connection and was lost."""
-    stage = Sip("server")
+def test_a_bye_to_a_client_whose_connection_has_closed_uses_a_new_connection() -> None:
+    """The BYE was written to the closed connection and lost."""
+    stage = SipStage("server")
     stage.play(call("desk", "server"))
     desk = stage.peers["desk"]
     dialog = next(iter(stage.front.legs_by_dialog.values())).dialog
@@ -353,8 +353,8 @@
     """)
 
 
-def test_a_client_connection_that_breaks_gives_its_call_up() -> None:
-    stage = Sip("server")
+def test_a_lost_client_connection_abandons_the_call_being_set_up() -> None:
+    stage = SipStage("server")
     stage.play("""
         desk send INVITE c1
         desk expect 100 c1
@@ -369,35 +369,35 @@
 
 
 @pytest.mark.parametrize("kind", ["udp", "tcp"])
-def test_mixed_traffic_has_no_duplicate_attempt_and_no_call_without_its_answer(kind: str) -> None:
-    """120 calls from both kinds of client; servers answer, refuse, stay silent, and clients repeat."""
-    stage = Sip("one", "two", kind=kind, max_attempts=4)
+def test_mixed_traffic_has_no_duplicate_attempt_and_no_call_without_a_final_response(kind: str) -> None:
+    """120 calls over UDP and TCP; servers answer, refuse or stay silent, and clients retransmit."""
+    stage = SipStage("one", "two", kind=kind, max_attempts=4)
     servers = [stage.peers["one"], stage.peers["two"]]
     clients = [stage.peers["phone"], stage.peers["desk"]]
     finals: dict[str, list[int]] = {}
-    out: dict[str, set[str]] = {}  # description, which names the call, and the attempts that are open for it
+    open_attempts: dict[str, set[str]] = {}  # by session description, which names the call: its open attempts
     seen: set[str] = set()
-    most = 0
+    max_open = 0
     for turn in range(120 + 60):
         if turn < 120:
             client = clients[turn % 2]
             setup = client.request("INVITE", f"m{turn}", {}, f"m{turn}".encode()).encode()
             client.write(setup)
             if turn % 10 == 0:
-                client.write(setup)  # over UDP a repeat; over TCP it must be absorbed as well
+                client.write(setup)  # a retransmission over UDP; over TCP it must be absorbed as well
         stage.wait(timedelta(milliseconds=50))
         for server in servers:
             for message in server.inbox:
                 name, attempt = message.body.decode(), message.call_id
                 if message.method == "CANCEL":
-                    for group in out.values():
+                    for group in open_attempts.values():
                         group.discard(attempt)
                 if message.method != "INVITE" or attempt in seen:
                     continue
                 seen.add(attempt)
-                group = out.setdefault(name, set())
+                group = open_attempts.setdefault(name, set())
                 group.add(attempt)
-                most = max(most, len(group))
+                max_open = max(max_open, len(group))
                 server.write(server.answer(180, "INVITE", attempt, {}, b"").encode())
                 if len(seen) % 4 != 3:
                     status = (200, 200, 503)[len(seen) % 3]
@@ -410,7 +410,7 @@
                     finals.setdefault(message.call_id, []).append(message.status)
             client.inbox.clear()
     stage.wait(timedelta(seconds=1))
-    assert most == 1
+    assert max_open == 1
     assert len(seen) > 20
     assert {200, 503} <= {answers[0] for answers in finals.values()}
     assert sorted(finals) == sorted(f"m{turn}" for turn in range(120))
@@ -418,10 +418,10 @@
     assert not stage.switch.unanswered
 
 
-def test_a_drain_refuses_new_calls_and_lets_dialogs_go_on() -> None:
-    """New INVITEs were taken while the border controller was being emptied, and never came to an end."""
-    stage = Sip("server")
-    stage.play(call("phone", "server") + RUNG.replace("phone", "desk").replace("c1", "c2"))
+def test_a_drain_refuses_new_calls_and_keeps_dialogs() -> None:
+    """New INVITEs were accepted during a drain and never completed."""
+    stage = SipStage("server")
+    stage.play(call("phone", "server") + INVITE_REACHES_SERVER.replace("phone", "desk").replace("c1", "c2"))
     stage.switch.lifecycle.quiesce()
     stage.play("""
         phone send INVITE c3
@@ -440,9 +440,9 @@
     stage.play("phone send INVITE c4\n phone expect 100 c4\n server expect INVITE")
 
 
-def test_an_open_invite_keeps_its_class_when_that_is_dropped() -> None:
-    stage = Sip("server")
-    stage.play(RUNG)
+def test_a_pending_call_keeps_its_class_when_new_settings_drop_it() -> None:
+    stage = SipStage("server")
+    stage.play(INVITE_REACHES_SERVER)
     great = [kind for kind in stage.switch.settings.classes if kind.name == "great"]
     stage.switch.apply_settings(replace(stage.switch.settings, classes=tuple(great)))
     stage.front.settings = replace(stage.front.settings, default_class="great", waits={"great": WAIT})
@@ -459,16 +459,16 @@
 
 
 @pytest.mark.parametrize("via", [",", ", SIP/2.0/UDP 127.0.0.1:5", " , ,", ";branch=z9hG4bKa", "\x0b,"])
-def test_a_datagram_whose_topmost_via_is_empty_is_refused_and_ends_nothing(via: str) -> None:
-    """The place before the comma was passed over by one reader and taken by the other: the program ended."""
-    stage = Sip("server")
+def test_a_datagram_with_an_empty_topmost_via_is_rejected_and_the_program_continues(via: str) -> None:
+    """One function skipped the empty item before the comma and another did not, which ended the program."""
+    stage = SipStage("server")
     phone = stage.peers["phone"]
     phone.write(options("v1", via))
     stage.play("phone expect 400 v1\n phone send OPTIONS o1\n phone expect 200 o1")
 
 
 def test_a_comma_within_quotes_does_not_end_the_topmost_via() -> None:
-    stage = Sip("server")
+    stage = SipStage("server")
     phone = stage.peers["phone"]
     phone.write(options("v1", f'SIP/2.0/UDP {HOST}:{phone.port};branch=z9hG4bKq;x="a,b";rport'))
     stage.play("phone expect 200 v1")
@@ -477,10 +477,10 @@
                f";received={HOST}~,~SIP/2.0/UDP~far")  # fmt: skip
 
 
-def test_datagrams_that_cannot_be_read_do_not_fill_the_log(capsys: pytest.CaptureFixture[str]) -> None:
-    """Each added a line: 460 KB in 12 s from one sender."""
+def test_malformed_datagrams_do_not_fill_the_log(capsys: pytest.CaptureFixture[str]) -> None:
+    """Each datagram added a log line: 460 KB in 12 s from one sender."""
     LOGGED_COUNTS.clear()
-    stage = Sip("server")
+    stage = SipStage("server")
     phone = stage.peers["phone"]
     for number in range(500):
         phone.write(b"no SIP %d\r\n\r\n" % number)
@@ -488,24 +488,24 @@
         if number % 50 == 0:
             stage.settle()
     stage.settle()
-    said = [line for line in capsys.readouterr().err.splitlines() if line.startswith("sip:")]
-    assert 0 < len(said) < 40
+    lines = [line for line in capsys.readouterr().err.splitlines() if line.startswith("sip:")]
+    assert 0 < len(lines) < 40
     LOGGED_COUNTS.clear()
 
 
-def broken(*_: object, **__: object) -> None:
+def raise_planted_fault(*_: object, **__: object) -> None:
     raise KeyError("planted")
 
 
-def test_a_fault_in_serving_a_request_ends_its_transaction_with_500_and_nothing_else(
+def test_a_fault_in_handling_a_request_is_answered_with_500_and_affects_nothing_else(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It stopped a debug build; in a release build the transaction stayed for good and nobody heard."""
-    stage = Sip("server")
+    """It ended a debug build; in a release build the transaction leaked and the client got no response."""
+    stage = SipStage("server")
     stage.play(call("phone", "server"))
     before = COUNTERS["faults.sip.request"]
     with monkeypatch.context() as patch:
-        patch.setattr(stage.switch, "offer", broken)
+        patch.setattr(stage.switch, "offer", raise_planted_fault)
         stage.play("phone send INVITE c2\n phone expect 100 c2\n phone expect 500 c2\n phone send OPTIONS o1")
         stage.play("phone expect 200 o1")
     assert COUNTERS["faults.sip.request"] == before + 1
@@ -514,111 +514,113 @@
     assert len(stage.front.legs_by_name) <= 1 and not stage.switch.unanswered
 
 
-def test_a_fault_in_serving_a_response_is_an_attempt_without_an_answer(
+def test_a_fault_in_handling_a_response_counts_as_an_attempt_without_an_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    stage = Sip("server", max_attempts=1)
-    stage.play(RUNG)
+    stage = SipStage("server", max_attempts=1)
+    stage.play(INVITE_REACHES_SERVER)
     with monkeypatch.context() as patch:
-        patch.setattr(stage.switch, "established", broken)
+        patch.setattr(stage.switch, "established", raise_planted_fault)
         stage.play("server send 200 INVITE\n server expect ACK\n server expect BYE\n server send 200 BYE")
         stage.play("phone expect 503 c1 retry-after=*")
     stage.wait(timedelta(seconds=40))
-    assert stage.switch.is_idle, "one final answer, and nothing is left"
+    assert stage.switch.is_idle, "one final response, and no call is left"
 
 
-def test_a_fault_in_reading_a_stream_ends_that_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = Sip("server")
+def test_a_fault_in_reading_a_stream_closes_only_that_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    stage = SipStage("server")
     other = stage.peer("other", "tcp", stage.front.endpoint.address)
     stage.play("desk send OPTIONS o1\n desk expect 200 o1\n other send OPTIONS o2\n other expect 200 o2")
     with monkeypatch.context() as patch:
-        patch.setattr("reedmount.sip.endpoint.next_message", broken)
+        patch.setattr("reedmount.sip.endpoint.next_message", raise_planted_fault)
         stage.play("desk send OPTIONS o3\n desk expect CLOSED")
     stage.play("other send OPTIONS o4\n other expect 200 o4\n phone send OPTIONS o5\n phone expect 200 o5")
     assert other.rings
 
 
-def test_a_broken_invariant_crosses_the_border_in_a_debug_build() -> None:
+def test_a_broken_invariant_is_not_contained_in_a_debug_build() -> None:
     def breaks() -> None:
         invariant(False, "planted")
 
     with pytest.raises(AssertionError):
         run_isolated("test", breaks)
-    assert not run_isolated("test", broken, broken), "a fault in ending is contained as well"
+    assert not run_isolated("test", raise_planted_fault, raise_planted_fault), (
+        "a fault in the cleanup is contained as well"
+    )
     assert COUNTERS["faults.test.ending"] >= 1
 
 
 @pytest.mark.parametrize("kind", ["udp", "tcp"])
-def test_a_cancel_is_posted_to_one_server_and_servers_that_left_are_forgotten(kind: str) -> None:
-    """It was posted to every server that had ever been listed."""
+def test_a_cancel_is_posted_to_one_server_and_removed_servers_are_forgotten(kind: str) -> None:
+    """A cancel was posted to every server that had ever been listed."""
     names = [f"s{number}" for number in range(6)]
-    stage = Sip(*names, kind=kind)
-    side = stage.switch._servers
-    assert isinstance(side, SipServers)
+    stage = SipStage(*names, kind=kind)
+    sip_servers = stage.switch._servers
+    assert isinstance(sip_servers, SipServers)
     posted: list[str] = []
-    for name, peer in side._by_name.items():
+    for name, peer in sip_servers._by_name.items():
 
-        def post(item: object, name: str = name, plain: Callable[[Any], None] = peer.post) -> None:
+        def post(item: object, name: str = name, original: Callable[[Any], None] = peer.post) -> None:
             posted.append(f"{name} {type(item).__name__}")
-            plain(item)
+            original(item)
 
         peer.post = post
     stage.play("phone send INVITE c1\n phone expect 100 c1")
     stage.settle()
-    (asked,) = [name for name in names if stage.peers[name].inbox]
-    stage.play(f"{asked} expect INVITE\n {asked} send 180 INVITE\n phone expect 180 c1")
-    stage.play(f"phone send CANCEL c1\n phone expect 200 c1\n phone expect 487 c1\n {asked} expect CANCEL")
-    stage.play(f"{asked} send 487 INVITE")
-    assert [word for word in posted if "CancelSetup" in word] == [f"{asked} CancelSetup"]
-    stage.play(f"{asked} expect ACK")
-    assert not side._open_attempts
-    gone = [ListedServer(name, (HOST, stage.peers[name].port), number, False, True, None, kind)
+    (target,) = [name for name in names if stage.peers[name].inbox]
+    stage.play(f"{target} expect INVITE\n {target} send 180 INVITE\n phone expect 180 c1")
+    stage.play(f"phone send CANCEL c1\n phone expect 200 c1\n phone expect 487 c1\n {target} expect CANCEL")
+    stage.play(f"{target} send 487 INVITE")
+    assert [entry for entry in posted if "CancelSetup" in entry] == [f"{target} CancelSetup"]
+    stage.play(f"{target} expect ACK")
+    assert not sip_servers._open_attempts
+    removed = [ListedServer(name, (HOST, stage.peers[name].port), number, False, True, None, kind)
             for number, name in enumerate(names, 1)]  # fmt: skip
-    stage.switch.pool_changed(9, i.ListKind.CHANGES, gone)
+    stage.switch.pool_changed(9, i.ListKind.CHANGES, removed)
     stage.wait(timedelta(seconds=40))
-    assert not side._by_name
+    assert not sip_servers._by_name
 
 
-def test_a_server_that_was_removed_is_kept_while_a_call_stands_there() -> None:
-    stage = Sip("server")
-    side = stage.switch._servers
-    assert isinstance(side, SipServers)
+def test_a_removed_server_is_kept_while_it_has_an_established_call() -> None:
+    stage = SipStage("server")
+    sip_servers = stage.switch._servers
+    assert isinstance(sip_servers, SipServers)
     stage.play(call("phone", "server"))
-    gone = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
-    stage.switch.pool_changed(9, i.ListKind.CHANGES, [gone])
+    removed = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
+    stage.switch.pool_changed(9, i.ListKind.CHANGES, [removed])
     stage.wait(timedelta(seconds=1))
-    assert list(side._by_name) == ["server"]
+    assert list(sip_servers._by_name) == ["server"]
     stage.play("phone send BYE c1\n phone expect 200 c1\n server expect BYE\n server send 200 BYE")
     stage.wait(timedelta(seconds=1))
-    assert not side._by_name
+    assert not sip_servers._by_name
 
 
-def test_a_connection_that_ends_leaves_no_transaction_behind() -> None:
-    stage = Sip("server")
+def test_a_closed_connection_leaves_no_transaction_behind() -> None:
+    stage = SipStage("server")
     stage.play("desk send INVITE c1\n desk expect 100 c1\n server expect INVITE\n desk send OPTIONS o1")
     stage.play("desk expect 200 o1\n desk close\n wait 100")
     assert not stage.front.endpoint.transactions._by_hop and not stage.front._by_transaction
 
 
-def test_a_set_up_that_crosses_the_removal_of_its_server_ends_and_is_not_lost() -> None:
-    """It lay unread with the server's actor when that was forgotten."""
-    stage = Sip("server", "other", max_attempts=2)
-    side = stage.switch._servers
-    assert isinstance(side, SipServers)
-    peer = side._by_name["server"]
-    gone = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
+def test_a_set_up_that_crosses_the_removal_of_its_server_is_reported_as_not_sent() -> None:
+    """The set-up was left in the mailbox of the server's actor when the server was forgotten."""
+    stage = SipStage("server", "other", max_attempts=2)
+    sip_servers = stage.switch._servers
+    assert isinstance(sip_servers, SipServers)
+    peer = sip_servers._by_name["server"]
+    removed = ListedServer("server", (HOST, stage.peers["server"].port), 1, False, True, None, "udp")
     ended: list[tuple[str, i.Outcome]] = []
     stage.switch.attempt_ended = lambda name, attempt, outcome, *_: ended.append((name, outcome))  # type: ignore[method-assign]
-    peer.post(gone)
-    side.send(Setup("late", 0, "server", "small", "100", WAIT, b""))
+    peer.post(removed)
+    sip_servers.send(Setup("late", 0, "server", "small", "100", WAIT, b""))
     stage.wait(timedelta(milliseconds=50))
-    assert ended == [("late", i.Outcome.NOT_SENT)] and list(side._by_name) == ["other"]
+    assert ended == [("late", i.Outcome.NOT_SENT)] and list(sip_servers._by_name) == ["other"]
 
 
-def test_callers_hear_how_far_it_has_come_each_time_and_not_100() -> None:
-    stage = Sip("server")
+def test_every_provisional_response_except_100_is_passed_to_the_caller() -> None:
+    stage = SipStage("server")
     stage.play(f"""
-        {RUNG}
+        {INVITE_REACHES_SERVER}
         server send 100 INVITE
         phone expect nothing
         server send 180 INVITE
@@ -635,27 +637,27 @@
     """)
 
 
-def test_a_server_that_rings_without_end_is_passed_on_a_bounded_number_of_times() -> None:
-    stage = Sip("server")
-    stage.play(RUNG)
+def test_the_number_of_provisional_responses_passed_on_is_bounded() -> None:
+    stage = SipStage("server")
+    stage.play(INVITE_REACHES_SERVER)
     for _ in range(100):
         stage.play("server send 180 INVITE")
     stage.settle()
     assert len(stage.peers["phone"].inbox) == MAX_PROGRESS
 
 
-def test_what_was_told_of_an_attempt_that_failed_is_another_early_dialog_than_the_next() -> None:
-    stage = Sip("server", "second", max_attempts=2)
+def test_a_failed_attempt_and_the_next_one_have_different_early_dialogs() -> None:
+    stage = SipStage("server", "second", max_attempts=2)
     stage.play("phone send INVITE c1\n phone expect 100 c1")
     stage.settle()
     first = "server" if stage.peers["server"].inbox else "second"
     other = "second" if first == "server" else "server"
-    heard = stage.peers["phone"].heard_tags = []  # type: ignore[attr-defined]
-    plain = stage.peers["phone"].take
+    received = stage.peers["phone"].received_tags = []  # type: ignore[attr-defined]
+    original = stage.peers["phone"].take
 
     def take(message: Message) -> None:
-        heard.append((message.status, parameter(message.need("To"), "tag")))
-        plain(message)
+        received.append((message.status, parameter(message.need("To"), "tag")))
+        original(message)
 
     stage.peers["phone"].take = take  # type: ignore[method-assign]
     stage.play(f"""
@@ -671,24 +673,24 @@
         {other} send 200 INVITE | answer
         phone expect 200 c1 body=answer
     """)
-    (_, one), (_, two), (_, final) = heard
+    (_, one), (_, two), (_, final) = received
     assert one and two and one != two == final
 
 
-def test_a_server_that_forks_has_one_answer_kept_and_the_others_released() -> None:
-    stage = Sip("server")
-    stage.play(RUNG)
+def test_of_several_forked_answers_one_is_kept_and_the_others_are_released() -> None:
+    stage = SipStage("server")
+    stage.play(INVITE_REACHES_SERVER)
     server = stage.peers["server"]
-    asked = server.heard[-1]
+    invite = server.heard[-1]
     for tag in ("a", "b"):
         contact = ("Contact", f"<sip:{tag}@{HOST}:{server.port}>")
-        server.write(response(asked, 200, [contact], tag.encode(), tag=tag).encode())
+        server.write(response(invite, 200, [contact], tag.encode(), tag=tag).encode())
     stage.play("phone expect 200 c1 body=a")
     stage.settle()
-    words = [(message.method, parameter(message.need("To"), "tag")) for message in server.inbox]
-    assert sorted(words) == [("ACK", "a"), ("ACK", "b"), ("BYE", "b")]
+    received = [(message.method, parameter(message.need("To"), "tag")) for message in server.inbox]
+    assert sorted(received) == [("ACK", "a"), ("ACK", "b"), ("BYE", "b")]
     server.inbox.clear()
-    server.write(response(asked, 200, [contact], b"b", tag="b").encode())
+    server.write(response(invite, 200, [contact], b"b", tag="b").encode())
     stage.play("server expect ACK\n server expect nothing\n phone expect nothing")
     stage.play("phone send BYE c1\n phone expect 200 c1\n server expect BYE")
 
@@ -697,9 +699,9 @@
     "pieces", [[b"\r\n\r\n"], [b"\r\n", b"\r\n"], [b"\r", b"\n\r", b"\n"], [b"\r\n\r\n" * 500]],
     ids=["whole", "halves", "thirds", "many"],
 )  # fmt: skip
-def test_a_keep_alive_on_a_connection_is_answered_however_it_comes(pieces: list[bytes]) -> None:
-    """RFC 5626, 4.4.1: a client that hears no answer within 10 s takes its connection for dead."""
-    stage = Sip("server")
+def test_a_keep_alive_on_a_connection_is_answered_however_it_is_segmented(pieces: list[bytes]) -> None:
+    """RFC 5626, 4.4.1: a client that gets no pong within 10 s considers its connection dead."""
+    stage = SipStage("server")
     desk = stage.peers["desk"]
     stage.play("desk send OPTIONS o1\n desk expect 200 o1")
     assert desk.sock is not None
