--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -20,8 +20,8 @@
 FILE = (ROOT / "deploy" / "replicas.toml").read_text()
 DISK = "# [replicas.disk_faults]"
 S = timedelta(seconds=1)
-SIDE = DialogState.of(
-    Dialog("c1", "<sip:a@b>;tag=1", "<sip:c@d>;tag=2", "sip:c@192.0.2.1:5060", number=3), False
+SIDE = DialogState.from_dialog(
+    Dialog("c1", "<sip:a@b>;tag=1", "<sip:c@d>;tag=2", "sip:c@192.0.2.1:5060", local_cseq=3), False
 )
 
 
@@ -136,8 +136,8 @@
     site.run(15 * S)
     calls = list(callers.calls.values())
     assert calls and keeper.waiting and all(not call.finals for call in calls)
-    for leg in list(site.front.names.values()):
-        leg._final(487, [])
+    for leg in list(site.front.legs_by_name.values()):
+        leg._send_final(487, [])
     for go_on in keeper.waiting:
         go_on()
     site.run(S)
