--- a/reedmount/core/lifecycle.py
+++ b/reedmount/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The one lifecycle of a border controller: door and signals tell it, fronts and the door ask it."""
+"""The lifecycle of a border controller: changed by the admin server and signals, read by all other parts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Phase(Enum):
-    """Where in its life a border controller is."""
+    """The phase that a border controller is in."""
 
     STARTING = "starting"
     READY = "ready"
@@ -21,15 +21,15 @@
 
 
 class Need(Enum):
-    """What must be there before it is ready."""
+    """A condition for being ready."""
 
     LISTENING = "listening"
     SERVERS = "the list of call servers"
-    LIST_UPDATE = "news of the list"  # where another process has served until now
+    LIST_UPDATE = "an update of the list"  # where another process has served until now
 
 
 class Lifecycle:
-    """Starting, ready, draining, ending; a drain can be undone at any moment, an end cannot."""
+    """The current phase; a drain can be undone at any moment, a shutdown cannot."""
 
     def __init__(self, clock: Clock, trace: Trace | None = None) -> None:
         self._clock, self._trace = clock, trace
@@ -37,16 +37,16 @@
         self._superseded: datetime | None = None
         self._quiesced: datetime | None = None
         self._ending: Shutdown | None = None
-        self._told: list[Callable[[], None]] = []
-        self._last = self.phase
+        self._listeners: list[Callable[[], None]] = []
+        self._last_phase = self.phase
 
-    def on_change(self, tell: Callable[[], None]) -> None:
-        """Hear of each change of the phase."""
-        self._told.append(tell)
+    def on_change(self, listener: Callable[[], None]) -> None:
+        """Call a listener at each change of the phase."""
+        self._listeners.append(listener)
 
     @property
     def phase(self) -> Phase:
-        """Where it is now."""
+        """The current phase."""
         if self._ending is not None:
             return Phase.ENDING
         if self._quiesced is not None or self._superseded is not None:
@@ -55,12 +55,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients should come here."""
+        """Whether clients should connect here."""
         return self.phase is Phase.READY
 
     @property
     def shutdown(self) -> Shutdown | None:
-        """Its drain or its end, where that has begun."""
+        """The shutdown or else the drain that has begun, if any."""
         if self._ending is not None:
             return self._ending
         since = self._superseded or self._quiesced
@@ -68,47 +68,47 @@
 
     @property
     def superseded(self) -> bool:
-        """Whether another process takes the clients now."""
+        """Whether another process accepts the clients now."""
         return self._superseded is not None
 
     def require(self, need: Need) -> None:
-        """One thing more has to be there."""
+        """Add a condition for being ready."""
         self._needs.add(need)
-        self._tell()
+        self._notify()
 
     def satisfy(self, need: Need) -> None:
-        """One thing more is there."""
+        """A condition for being ready is met."""
         self._needs.discard(need)
-        self._tell()
+        self._notify()
 
     def quiesce(self) -> None:
-        """Drain; a drain that is under way goes on as it is."""
+        """Begin a drain; one that is under way continues unchanged."""
         if self._quiesced is None:
             self._quiesced = self._clock.now()
-        self._tell()
+        self._notify()
 
     def resume(self) -> bool:
-        """Take clients again; False where that cannot be: the end has begun, or another process has them."""
+        """Undo a drain; False if clients stay away: shutdown has begun, or another process accepts them."""
         self._quiesced = None
-        self._tell()
+        self._notify()
         return self._ending is None and self._superseded is None
 
     def supersede(self, by_another: bool) -> None:
-        """Another process takes the clients from now on, or it has died and does no more."""
+        """Another process accepts the clients from now on, or (False) it has died."""
         self._superseded = self._clock.now() if by_another else None
-        self._tell()
+        self._notify()
 
     def end(self, kill_after: timedelta | None = None) -> None:
-        """The end has begun; the process may be killed so much later, where that is known."""
+        """Begin the shutdown; ``kill_after`` is the time until the process may be killed, if known."""
         if self._ending is None:
             now = self._clock.now()
             self._ending = Shutdown(now, now + kill_after if kill_after is not None else None)
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
-        before, self._last = self._last, self.phase
-        if self._last is not before:
+    def _notify(self) -> None:
+        before, self._last_phase = self._last_phase, self.phase
+        if self._last_phase is not before:
             if self._trace is not None:
-                self._trace("lifecycle", phase=self._last.value, before=before.value)
-            for tell in self._told:
-                tell()
+                self._trace("lifecycle", phase=self._last_phase.value, before=before.value)
+            for listener in self._listeners:
+                listener()
--- a/reedmount/fronts/__init__.py
+++ b/reedmount/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Where the border controller meets the outside: the platform, its notice board, and SIP."""
+"""External interfaces of the border controller: the platform's protocol, its notice board, and SIP."""
--- a/reedmount/fronts/admin.py
+++ b/reedmount/fronts/admin.py
@@ -1,4 +1,4 @@
-"""The operators' door: health, quiesce and resume over HTTP/1.1, one call a connection."""
+"""The admin server: health, quiesce, resume and views over HTTP/1.1, with one request on each connection."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from reedmount.net.connection import Address, Connection, EndReason, listen
 from reedmount.net.loop import Loop
 
-MAX_ADMIN_CONNECTIONS = 10  # at once: the one with the least claim goes when another comes
-ADMIN_SOCKETS = MAX_ADMIN_CONNECTIONS + 2  # with the listener and one that is being turned away
-SILENT = timedelta(seconds=5)  # for a whole call
-TAKE_LEAVE = timedelta(seconds=1)  # for the caller to close after its answer
-LONGEST_BODY = 65536
+MAX_ADMIN_CONNECTIONS = 10  # beyond that, the one of the lowest priority is closed
+ADMIN_SOCKETS = MAX_ADMIN_CONNECTIONS + 2  # with the listener and one connection about to be closed
+REQUEST_TIMEOUT = timedelta(seconds=5)  # for a complete request
+CLOSE_TIMEOUT = timedelta(seconds=1)  # for the client to close after its answer
+MAX_BODY = 65536  # bytes
 HEALTH, QUIESCE, RESUME = "/admin/health", "/admin/quiesce", "/admin/resume"
 METHODS = {HEALTH: "GET", QUIESCE: "POST", RESUME: "POST"}
-View = Callable[[dict[str, str]], dict[str, object]]  # what a GET shows, by its query
+View = Callable[[dict[str, str]], dict[str, object]]  # answers a GET by its query
 
 
-class Visitor:
-    """The actor of one connection at the door."""
+class AdminConnection:
+    """The actor of one connection to the admin server."""
 
     def __init__(self, admin_server: AdminServer, sock: socket.socket, order: int) -> None:
         self._admin_server, self.order = admin_server, order
@@ -39,19 +39,19 @@
         self.connection = Connection(
             admin_server.loop, sock, self._actor.post, lambda _, how: self._actor.post(how), urgent=True
         )
-        self.heard = False
-        self._timer = admin_server.loop.call_later(SILENT, self.close)
+        self.received_data = False
+        self._timer = admin_server.loop.call_later(REQUEST_TIMEOUT, self.close)
 
     def close(self) -> None:
-        """Its time is up, or its place is needed."""
+        """Close it: it has ended or timed out, or room is needed."""
         self._timer.cancel()
         self.connection.close()
         self._actor.stop()
-        self._admin_server.drop(self)
+        self._admin_server.remove(self)
 
-    def claim(self) -> tuple[bool, bool, int]:
-        """How much of a claim it has to its place: answered ones the least, then silent, then old ones."""
-        return not self.answered, self.heard, self.order
+    def priority(self) -> tuple[bool, bool, int]:
+        """The lowest is closed first: those answered, then those that have sent nothing, then the oldest."""
+        return not self.answered, self.received_data, self.order
 
     def _handle(self, item: Connection | EndReason) -> None:
         if isinstance(item, EndReason):
@@ -62,35 +62,35 @@
         ring.drop(len(data))
         if self.answered or item.ended:
             return
-        self.heard = True
+        self.received_data = True
         try:
             self._http.receive_data(data)
-            self._hear()
+            self._handle_events()
         except (h11.RemoteProtocolError, ValueError) as error:
             COUNTERS.add("door.malformed")
             if not self.answered:
                 self._answer(getattr(error, "error_status_hint", 0) or 400, {"error": str(error)})
 
-    def _hear(self) -> None:
+    def _handle_events(self) -> None:
         while not self.answered:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
                 if self._http.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    self.connection.send(self._http.send(go_on) or b"")
+                    proceed = h11.InformationalResponse(status_code=100, headers=[])
+                    self.connection.send(self._http.send(proceed) or b"")
                 return
             if isinstance(event, h11.Request):
                 self._request = event
             elif isinstance(event, h11.Data):
                 self._body += len(event.data)
-                if self._body > LONGEST_BODY:
+                if self._body > MAX_BODY:
                     self._answer(413, {"error": "longer than any call here"})
             elif isinstance(event, h11.EndOfMessage) and self._request is not None:
-                self._call(self._request)
+                self._handle_request(self._request)
             else:
                 return
 
-    def _call(self, request: h11.Request) -> None:
+    def _handle_request(self, request: h11.Request) -> None:
         target = urlsplit(request.target.decode("ascii"))
         path = target.path
         method = self._admin_server.methods.get(path)
@@ -100,10 +100,12 @@
             self._answer(405, {"error": f"{path} takes {method}"}, (("Allow", method),))
         else:
             COUNTERS.add(f"door.{path.rpartition('/')[2]}")
-            self._answer(*self._admin_server.called(path, dict(parse_qsl(target.query, max_num_fields=8))))
+            self._answer(
+                *self._admin_server.handle_request(path, dict(parse_qsl(target.query, max_num_fields=8)))
+            )
 
     def _answer(self, status: int, body: dict[str, object], extra: tuple[tuple[str, str], ...] = ()) -> None:
-        """The answer; the connection closes after it, but not so hard that it is lost on its way."""
+        """Send the answer, then close gracefully, so that a reset does not discard the answer."""
         COUNTERS.add(f"door.{status}")
         self.answered = True
         text = json.dumps(body).encode() + b"\n"
@@ -114,57 +116,57 @@
         self.connection.send(b"".join(part or b"" for part in parts))
         self.connection.finish_writing()
         self._timer.cancel()
-        self._timer = self._admin_server.loop.call_later(TAKE_LEAVE, self.close)
+        self._timer = self._admin_server.loop.call_later(CLOSE_TIMEOUT, self.close)
 
 
 class AdminServer:
-    """The listener and its visitors. Silent ones are bounded, and crowd out nobody who has a call to make."""
+    """The listener and its connections; silent ones are limited and cannot keep others from being served."""
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
         lifecycle: Lifecycle,
-        figures: Callable[[], dict[str, int]],
+        counts: Callable[[], dict[str, int]],
         views: Mapping[str, View] | None = None,
     ) -> None:
-        self.loop, self._lifecycle, self._figures = loop, lifecycle, figures
+        self.loop, self._lifecycle, self._counts = loop, lifecycle, counts
         self._views = views or {}
         self.methods = METHODS | dict.fromkeys(self._views, "GET")
-        self._visitors: dict[Visitor, None] = {}
-        self._count = 0
+        self._connections: dict[AdminConnection, None] = {}
+        self._accepted = 0
         self._sock = listen(loop, address, self._accept, urgent=True)
 
     @property
     def address(self) -> Address:
-        """Where operators call."""
+        """Where operators connect."""
         host, port = self._sock.getsockname()[:2]
         return host, port
 
-    def called(self, path: str, query: dict[str, str]) -> tuple[int, dict[str, object]]:
-        """Do what is asked; 2xx means yes."""
+    def handle_request(self, path: str, query: dict[str, str]) -> tuple[int, dict[str, object]]:
+        """Carry out a request; returns the HTTP status and the body."""
         if path in self._views:
             return 200, self._views[path](query)
         good = True
         if path == HEALTH:
             good = self._lifecycle.ready
         elif path == QUIESCE:
-            log("door: quiesce")
+            log("admin: quiesce requested")
             self._lifecycle.quiesce()
         else:
-            log("door: resume")
+            log("admin: resume requested")
             good = self._lifecycle.resume()
         status = 200 if good else 503 if path == HEALTH else 409
-        return status, {"state": self._lifecycle.phase.value, **self._figures()}
+        return status, {"state": self._lifecycle.phase.value, **self._counts()}
 
-    def drop(self, visitor: Visitor) -> None:
-        """It has gone."""
-        self._visitors.pop(visitor, None)
+    def remove(self, connection: AdminConnection) -> None:
+        """A connection has ended."""
+        self._connections.pop(connection, None)
 
     def _accept(self, sock: socket.socket) -> None:
         COUNTERS.add("door.connections")
-        if len(self._visitors) >= MAX_ADMIN_CONNECTIONS:
+        if len(self._connections) >= MAX_ADMIN_CONNECTIONS:
             COUNTERS.add("door.crowded_out")
-            min(self._visitors, key=Visitor.claim).close()
-        self._count += 1
-        self._visitors[Visitor(self, sock, self._count)] = None
+            min(self._connections, key=AdminConnection.priority).close()
+        self._accepted += 1
+        self._connections[AdminConnection(self, sock, self._accepted)] = None
--- a/reedmount/fronts/board.py
+++ b/reedmount/fronts/board.py
@@ -1,4 +1,4 @@
-"""The notice board: long polls over HTTP/1.1, and what its events say of the pool."""
+"""The notice board: polls it over HTTP/1.1 and turns its events into updates of the pool."""
 
 from __future__ import annotations
 
@@ -18,31 +18,32 @@
 from reedmount.net.connection import Address, Connection, EndReason, parse_address
 from reedmount.net.loop import Loop
 
-LINGER = timedelta(milliseconds=1000)  # short, so that a board that has fallen silent is noticed
-SLACK = timedelta(milliseconds=400)  # beyond that, with nothing heard, an answer is given up
-MAX_SLACK = timedelta(milliseconds=1600)  # doubled by each silence in a row: a slow board is not silent
-LONGEST_POLL = timedelta(seconds=5)  # also for an answer that comes in ever more pieces
-RETRY = timedelta(milliseconds=100)
-CONNECT_WAIT = timedelta(milliseconds=500)
-LONGEST_ANSWER = 1 << 20
+LINGER = timedelta(milliseconds=1000)  # of a long poll; short, so that a dead board is noticed soon
+ANSWER_SLACK = timedelta(milliseconds=400)  # beyond LINGER, until a poll times out
+# Doubled at each time-out in a row: the board may be slow and not dead.
+MAX_ANSWER_SLACK = timedelta(milliseconds=1600)
+MAX_POLL_TIME = timedelta(seconds=5)  # even while pieces of the answer arrive
+RETRY_DELAY = timedelta(milliseconds=100)
+CONNECT_TIMEOUT = timedelta(milliseconds=500)
+MAX_ANSWER = 1 << 20  # bytes
 STATES = ("SERVING", "DRAINING", "DELETED")
 
 
 class BoardError(ValueError):
-    """The notice board said what it may not say."""
+    """An invalid answer of the notice board."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One numbered event."""
+    """One numbered event of the board."""
 
     number: int
-    whole: bool
+    complete: bool  # names all servers
     entries: tuple[ListedServer, ...]
 
 
 def read_host(raw: Any) -> ListedServer:
-    """One call server in an event."""
+    """Parse one call server of an event."""
     try:
         state, born = raw["health"], int(raw.get("born_ms") or 0)
         if state not in STATES:
@@ -60,7 +61,7 @@
 
 
 def read_notices(raw: Any) -> tuple[int, list[Notice]]:
-    """The number of the last event, and the events; other kinds of event are passed over."""
+    """Parse the number of the last event, and the events; other kinds of event are ignored."""
     try:
         last, found = int(raw["rev"]), []
         for item in raw["notices"]:
@@ -70,62 +71,62 @@
                 found.append(Notice(int(item["rev"]), bool(pool["whole"]), hosts))
         return last, found
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise BoardError(f"{type(error).__name__} {error}") from None  # Infinity is a number to the reader
+        raise BoardError(f"{type(error).__name__} {error}") from None  # OverflowError: JSON's Infinity
 
 
 class PoolListener(Protocol):
-    """Who is told of the pool's news: the core, or a pool of several sources."""
+    """Receives updates of the pool: the core, or a pool of several sources."""
 
     def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
-        """News of the pool."""
+        """Servers of the pool have changed."""
 
 
 class BoardList:
-    """The list as told so far; it turns events into news for the core, in order and each once."""
+    """The list of servers so far; reports each event to the listener once, in order."""
 
-    def __init__(self, switch: PoolListener) -> None:
-        self._switch = switch
+    def __init__(self, listener: PoolListener) -> None:
+        self._listener = listener
         self._hosts: dict[str, ListedServer] = {}
         self.last = 0
 
     def start(self, last: int, notices: list[Notice]) -> None:
-        """What the configuration knows: possibly stale, and whole."""
+        """Start with the list in the configuration, which is complete but may be stale."""
         for notice in notices:
             self._merge(notice)
         self.last = max([last, *(notice.number for notice in notices)])
-        self._switch.pool_changed(self.last, i.ListKind.SAVED, list(self._hosts.values()))
+        self._listener.pool_changed(self.last, i.ListKind.SAVED, list(self._hosts.values()))
 
     def take(self, last: int, notices: list[Notice]) -> bool:
-        """News from the board; False where events are missing, and the caller asks for all of them."""
+        """Apply events from the board; False if some are missing, and all must be requested."""
         for notice in sorted(notices, key=lambda notice: notice.number):
             if notice.number <= self.last:
                 continue
-            if notice.number > self.last + 1 and not notice.whole:
+            if notice.number > self.last + 1 and not notice.complete:
                 COUNTERS.add("board.gaps")
                 return False
             changed = self._merge(notice)
             self.last = notice.number
             COUNTERS.add("board.events")
-            self._switch.pool_changed(self.last, i.ListKind.CHANGES, changed)
+            self._listener.pool_changed(self.last, i.ListKind.CHANGES, changed)
         self.last = max(self.last, last)
         return True
 
-    def renew(self, last: int, notices: list[Notice]) -> None:
-        """All events again, after a gap or a board that began anew: what they lack is gone."""
+    def replace_all(self, last: int, notices: list[Notice]) -> None:
+        """Apply all events again after a gap or a restart of the board; servers not named are removed."""
         before, self._hosts = self._hosts, {}
         for notice in sorted(notices, key=lambda notice: notice.number):
             self._merge(notice)
-        gone = [
+        removed = [
             ListedServer(old.server, old.address, old.number, False, True, old.started)
             for old in before.values()
             if old.server not in self._hosts
         ]
         self.last = last
-        self._switch.pool_changed(self.last, i.ListKind.CHANGES, [*gone, *self._hosts.values()])
+        self._listener.pool_changed(self.last, i.ListKind.CHANGES, [*removed, *self._hosts.values()])
 
     def _merge(self, notice: Notice) -> list[ListedServer]:
         changed = list(notice.entries)
-        if notice.whole:
+        if notice.complete:
             named = {entry.server for entry in changed}
             changed += [
                 ListedServer(old.server, old.address, old.number, False, True, old.started)
@@ -141,13 +142,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
-    """Ask again."""
+class PollDue:
+    """The next poll is due."""
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
-    """No answer came in time to this poll."""
+class PollTimeout:
+    """This poll was not answered in time."""
 
     poll: int
 
@@ -156,11 +157,11 @@
     """The actor that polls the notice board."""
 
     def __init__(
-        self, loop: Loop, address: Address, pool: BoardList, on_news: Callable[[], None] | None = None
+        self, loop: Loop, address: Address, pool: BoardList, on_update: Callable[[], None] | None = None
     ) -> None:
-        self._on_news = on_news  # to be told once: then the first poll does not wait for later events
-        self._loop, self._address, self._pool = loop, address, pool
-        self._actor: Actor[Tick | Silence | Connection | tuple[Connection, EndReason]] = Actor(
+        self._on_update = on_update  # called once; until then polls do not wait for later events
+        self._loop, self._address, self._list = loop, address, pool
+        self._actor: Actor[PollDue | PollTimeout | Connection | tuple[Connection, EndReason]] = Actor(
             loop, self._handle
         )
         self._connection: Connection | None = None
@@ -168,94 +169,99 @@
         self._body = bytearray()
         self._status = 0
         self._polls = 0
-        self._asked = False
-        self._whole = False  # this poll asks for all events
-        self._slack = SLACK
-        self._asked_at = loop.clock.now()
+        self._poll_open = False
+        self._requests_all = False  # this poll requests all events
+        self._slack = ANSWER_SLACK
+        self._poll_sent_at = loop.clock.now()
         self._timer: Timer | None = None
-        self._actor.post(Tick())
+        self._actor.post(PollDue())
 
     def close(self) -> None:
-        """Ask no more."""
-        self._lose()
+        """Stop polling."""
+        self._disconnect()
         if self._timer is not None:
             self._timer.cancel()
         self._actor.stop()
 
     def move(self, address: Address) -> None:
-        """The board is at another address from now on: the numbers go on, what is due is asked for there."""
+        """Poll the board at another address from now on, from the same event number."""
         self._address = address
-        self._lose()
-        self._actor.post(Tick())
-
-    def _handle(self, word: Tick | Silence | Connection | tuple[Connection, EndReason]) -> None:
-        match word:
-            case Tick():
-                self._ask()
-            case Silence(poll):
-                if poll == self._polls and self._asked:
+        self._disconnect()
+        self._actor.post(PollDue())
+
+    def _handle(self, item: PollDue | PollTimeout | Connection | tuple[Connection, EndReason]) -> None:
+        match item:
+            case PollDue():
+                self._send_poll()
+            case PollTimeout(poll):
+                if poll == self._polls and self._poll_open:
                     COUNTERS.add("board.silent")
-                    waited = self._loop.clock.now() - self._asked_at
+                    waited = self._loop.clock.now() - self._poll_sent_at
                     self._loop.trace("board.given_up", reason="silent", waited_ms=whole_millis(waited))
-                    self._slack = min(2 * self._slack, MAX_SLACK)
-                    self._lose()
-                    self._ask()
+                    self._slack = min(2 * self._slack, MAX_ANSWER_SLACK)
+                    self._disconnect()
+                    self._send_poll()
             case Connection():
-                self._hear(word)
+                self._receive(item)
             case (connection, how):
                 if connection is self._connection:
                     COUNTERS.add("board.lost")
                     self._loop.trace("board.lost", how=f'"{how.value}"')
-                    was_up = self._asked and self._http.their_state is not h11.IDLE
-                    self._lose()
+                    was_polling = self._poll_open and self._http.their_state is not h11.IDLE
+                    self._disconnect()
                     self._loop.call_later(
-                        RETRY if not was_up else RETRY / 4, lambda: self._actor.post(Tick())
+                        RETRY_DELAY if not was_polling else RETRY_DELAY / 4,
+                        lambda: self._actor.post(PollDue()),
                     )
 
-    def _lose(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.close()
-        self._connection, self._asked = None, False
+        self._connection, self._poll_open = None, False
 
-    def _ask(self) -> None:
-        if self._asked:
+    def _send_poll(self) -> None:
+        if self._poll_open:
             return
         if self._connection is None:
             self._http = h11.Connection(h11.CLIENT)
             try:
                 self._connection = Connection.dial(
-                    self._loop, self._address, CONNECT_WAIT, self._actor.post,
+                    self._loop, self._address, CONNECT_TIMEOUT, self._actor.post,
                     lambda connection, how: self._actor.post((connection, how)),
                 )  # fmt: skip
             except OSError as error:
                 COUNTERS.add("board.no_socket")
                 log(f"board: {error}", "board.no_socket")
-                self._loop.call_later(RETRY, lambda: self._actor.post(Tick()))
+                self._loop.call_later(RETRY_DELAY, lambda: self._actor.post(PollDue()))
                 return
-        after = 0 if self._whole else self._pool.last
-        linger = 0 if self._whole or self._on_news is not None else LINGER // timedelta(milliseconds=1)
+        after = 0 if self._requests_all else self._list.last
+        linger = (
+            0 if self._requests_all or self._on_update is not None else LINGER // timedelta(milliseconds=1)
+        )
         target = f"/board/poll?watch={after}&linger={linger}"
         host = f"{self._address[0]}:{self._address[1]}"
-        asked = h11.Request(method="GET", target=target, headers=[("Host", host)])
-        self._connection.send((self._http.send(asked) or b"") + (self._http.send(h11.EndOfMessage()) or b""))
-        self._asked, self._status, self._body = True, 0, bytearray()
+        request = h11.Request(method="GET", target=target, headers=[("Host", host)])
+        self._connection.send(
+            (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
+        )
+        self._poll_open, self._status, self._body = True, 0, bytearray()
         self._polls += 1
         COUNTERS.add("board.polls")
-        self._asked_at = self._loop.clock.now()
-        self._wait(LINGER + self._slack)
+        self._poll_sent_at = self._loop.clock.now()
+        self._set_timeout(LINGER + self._slack)
 
-    def _wait(self, span: timedelta) -> None:
-        """How long the poll that is open may go on without a word."""
+    def _set_timeout(self, span: timedelta) -> None:
+        """Set the time within which the open poll must receive something."""
         poll, now = self._polls, self._loop.clock.now()
         if self._timer is not None:
             self._timer.cancel()
-        latest = min(now + span, self._asked_at + LONGEST_POLL)
-        self._timer = self._loop.call_at(latest, lambda: self._actor.post(Silence(poll)))
+        latest = min(now + span, self._poll_sent_at + MAX_POLL_TIME)
+        self._timer = self._loop.call_at(latest, lambda: self._actor.post(PollTimeout(poll)))
 
-    def _hear(self, connection: Connection) -> None:
+    def _receive(self, connection: Connection) -> None:
         if connection is not self._connection:
             return
-        self._wait(self._slack)  # an answer that has begun may come in pieces
+        self._set_timeout(self._slack)  # an answer may arrive in pieces
         data = connection.incoming.peek()
         connection.incoming.drop(len(data))
         try:
@@ -268,35 +274,35 @@
                     self._status = event.status_code
                 elif isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > LONGEST_ANSWER:
-                        raise BoardError("an answer too long")
+                    if len(self._body) > MAX_ANSWER:
+                        raise BoardError("the answer is too long")
                 elif isinstance(event, h11.EndOfMessage):
-                    self._answered()
+                    self._handle_answer()
                     return
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise BoardError("closed amid an answer")
+                    raise BoardError("closed in the middle of an answer")
         except (h11.RemoteProtocolError, BoardError, ValueError, RecursionError) as error:
             COUNTERS.add("board.bad_answers")
             log(f"board: {error}", "board.bad_answer")
             self._loop.trace("board.bad_answer")
-            self._lose()
-            self._loop.call_later(RETRY, lambda: self._actor.post(Tick()))
+            self._disconnect()
+            self._loop.call_later(RETRY_DELAY, lambda: self._actor.post(PollDue()))
 
-    def _answered(self) -> None:
+    def _handle_answer(self) -> None:
         if self._status != 200:
             raise BoardError(f"status {self._status}")
         last, notices = read_notices(json.loads(self._body))
-        self._asked, self._slack = False, SLACK
-        if self._whole:
-            self._whole = False
-            self._pool.renew(last, notices)
-        elif last < self._pool.last or not self._pool.take(last, notices):
-            self._whole = True
-        if not self._whole and self._on_news is not None:
-            told, self._on_news = self._on_news, None
-            told()
+        self._poll_open, self._slack = False, ANSWER_SLACK
+        if self._requests_all:
+            self._requests_all = False
+            self._list.replace_all(last, notices)
+        elif last < self._list.last or not self._list.take(last, notices):
+            self._requests_all = True
+        if not self._requests_all and self._on_update is not None:
+            callback, self._on_update = self._on_update, None
+            callback()
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
         else:
-            self._lose()
-        self._ask()
+            self._disconnect()
+        self._send_poll()
--- a/reedmount/fronts/handover.py
+++ b/reedmount/fronts/handover.py
@@ -1,4 +1,4 @@
-"""Two processes, one border controller: the listener handed over, and what each tells the other meanwhile."""
+"""Upgrade without downtime: passes the listener to a new process and carries messages between the two."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 from reedmount.net.loop import READ, WRITE, Loop
 
 FILE = "reedmount.handover"
-LONGEST_PATH = 100  # the system takes 107 bytes
-LONGEST_WORD = 4096
-KEPT_WORDS = 4096  # that the other has not read yet
+MAX_PATH = 100  # bytes; the system accepts 107 in a socket address
+MAX_MESSAGE = 4096  # bytes
+MAX_QUEUED = 4096  # messages that the other process has not read yet
 HELLO_TIMEOUT = timedelta(milliseconds=1500)  # a busy predecessor answers later than an idle one
-REPORT_INTERVAL = timedelta(milliseconds=200)  # how many descriptors are held
+REPORT_INTERVAL = timedelta(milliseconds=200)  # of the number of descriptors in use
 CREDENTIALS = struct.Struct("3i")
 
 HandoverMessage = dict[str, Any]
 
 
-def _ours(sock: socket.socket) -> bool:
-    """Whether the other end is a process of the same user: where the folder is shared, others may call."""
+def _is_own_user(sock: socket.socket) -> bool:
+    """Whether the peer is a process of the same user: in a shared folder, others may connect."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
     return bool(CREDENTIALS.unpack(raw)[1] == os.getuid())
 
 
 @contextlib.contextmanager
-def _short(path: Path) -> Any:
-    """The path, by way of its open folder where it is too long for an address."""
-    if len(os.fsencode(path)) <= LONGEST_PATH:
+def _socket_path(path: Path) -> Any:
+    """The path, through a descriptor of its folder if it is too long for a socket address."""
+    if len(os.fsencode(path)) <= MAX_PATH:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
@@ -49,34 +49,34 @@
 
 
 class Channel:
-    """Whole words to and from the other process, in order."""
+    """Sends and receives messages to and from the other process, in order."""
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
-        on_word: Callable[[HandoverMessage], None],
+        on_message: Callable[[HandoverMessage], None],
         on_end: Callable[[], None],
     ) -> None:
         self._loop, self._sock, self._on_end = loop, sock, on_end
-        self._actor: Actor[HandoverMessage] = Actor(loop, on_word)
+        self._actor: Actor[HandoverMessage] = Actor(loop, on_message)
         self._waiting: deque[bytes] = deque()
         self.ended = False
         sock.setblocking(False)
         loop.watch(sock.fileno(), READ, self._ready)
 
-    def send(self, word: HandoverMessage) -> None:
-        """Tell the other; one that reads nothing for so long is as good as gone."""
+    def send(self, message: HandoverMessage) -> None:
+        """Send a message; a peer that has left too many unread counts as lost."""
         if self.ended:
             return
-        self._waiting.append(json.dumps(word).encode())
-        if len(self._waiting) > KEPT_WORDS:
+        self._waiting.append(json.dumps(message).encode())
+        if len(self._waiting) > MAX_QUEUED:
             self.close()
             return
         self._flush()
 
     def close(self) -> None:
-        """Part from the other."""
+        """Close the connection to the other process."""
         if not self.ended:
             self.ended = True
             self._loop.unwatch(self._sock.fileno())
@@ -101,7 +101,7 @@
         if self.ended or not events & ~WRITE:
             return
         try:
-            data = self._sock.recv(LONGEST_WORD)
+            data = self._sock.recv(MAX_MESSAGE)
         except BlockingIOError:
             return
         except OSError:
@@ -110,59 +110,59 @@
             self.close()
             return
         try:
-            word = json.loads(data)
-        except (ValueError, RecursionError):  # nested deeper than any reader goes
-            word = None
-        if isinstance(word, dict):
-            self._actor.post(word)
+            message = json.loads(data)
+        except (ValueError, RecursionError):  # RecursionError: nested too deeply
+            message = None
+        if isinstance(message, dict):
+            self._actor.post(message)
 
 
 class HandoverPeer:
-    """The other process of an upgrade, while there is one. Without it every word is refused."""
+    """The other process of an upgrade, while there is one; without it nothing is sent."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._channel: Channel | None = None
-        self._on: dict[str, Callable[[HandoverMessage], None]] = {}
+        self._handlers: dict[str, Callable[[HandoverMessage], None]] = {}
         self.on_lost: Callable[[], None] = lambda: None
 
     @property
-    def there(self) -> bool:
-        """Whether another process is joined to this one."""
+    def connected(self) -> bool:
+        """Whether another process is connected to this one."""
         return self._channel is not None
 
-    def on(self, what: str, do: Callable[[HandoverMessage], None]) -> None:
-        """Say what is done at a word; others are passed over, as the other may be of another version."""
-        self._on[what] = do
+    def on(self, what: str, handler: Callable[[HandoverMessage], None]) -> None:
+        """Set the handler of a kind of message; other kinds are ignored: the peer may be another version."""
+        self._handlers[what] = handler
 
     def join(self, sock: socket.socket) -> None:
-        """Be joined to another process; an earlier one is left."""
+        """Connect to another process; the connection to an earlier one is closed."""
         if self._channel is not None:
             self._channel.close()
         COUNTERS.add("twin.joined")
-        channel = Channel(self._loop, sock, self._hear, lambda: self._lost(channel))
+        channel = Channel(self._loop, sock, self._dispatch, lambda: self._on_channel_end(channel))
         self._channel = channel
 
-    def tell(self, what: str, **about: object) -> bool:
-        """Tell the other something; False where there is none."""
+    def notify(self, what: str, **fields: object) -> bool:
+        """Send a message to the other process; False if there is none."""
         if self._channel is None:
             return False
         COUNTERS.add(f"twin.out.{what}")
-        self._channel.send({"what": what, **about})
+        self._channel.send({"what": what, **fields})
         return self._channel is not None
 
-    def _hear(self, word: HandoverMessage) -> None:
-        do = self._on.get(str(word.get("what")))
-        if do is None:
+    def _dispatch(self, message: HandoverMessage) -> None:
+        handler = self._handlers.get(str(message.get("what")))
+        if handler is None:
             COUNTERS.add("twin.in.unknown")
             return
-        COUNTERS.add(f"twin.in.{word['what']}")
+        COUNTERS.add(f"twin.in.{message['what']}")
         try:
-            do(word)
+            handler(message)
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             log(f"twin: {type(error).__name__} {error}", "twin")
 
-    def _lost(self, channel: Channel) -> None:
+    def _on_channel_end(self, channel: Channel) -> None:
         if self._channel is channel:
             self._channel = None
             COUNTERS.add("twin.lost")
@@ -172,27 +172,28 @@
 def request_listener(
     folder: Path, address: Address, wait: timedelta = HELLO_TIMEOUT
 ) -> tuple[socket.socket, socket.socket] | None:
-    """Ask a predecessor for its listener; it comes with the connection to that process, or there is none.
+    """Ask a predecessor for its listener; returns it with the connection to that process.
 
-    Nobody there, a file that a dead one left, no answer in time, or a listener for another address: None.
+    None without a predecessor, if only the file of a dead one exists, if no answer comes in time, or if the
+    listener is bound to another address.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     given: list[int] = []
     try:
         sock.settimeout(wait.total_seconds())
-        with _short(folder / FILE) as path:
+        with _socket_path(folder / FILE) as path:
             sock.connect(path)
-        if not _ours(sock):
-            raise OSError("it is another user's")
-        data, given, _, _ = socket.recv_fds(sock, LONGEST_WORD, 4)
+        if not _is_own_user(sock):
+            raise OSError("the socket belongs to another user")
+        data, given, _, _ = socket.recv_fds(sock, MAX_MESSAGE, 4)
         if not data or len(given) != 1:
-            raise OSError("it gave no listener")
+            raise OSError("no listener was passed")
         listener = socket.socket(fileno=given[0])
         given = []
         listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         if listener.getsockname() != address or not listens:
             listener.close()
-            raise OSError("it listens at another address")
+            raise OSError("it listens on another address")
     except (FileNotFoundError, ConnectionRefusedError):
         pass
     except OSError as error:
@@ -206,7 +207,7 @@
 
 
 class SuccessorListener:
-    """Where a successor asks for the listener."""
+    """The Unix socket on which a successor asks for the listener."""
 
     def __init__(
         self, loop: Loop, folder: Path, listener: socket.socket, on_successor: Callable[[socket.socket], None]
@@ -215,36 +216,36 @@
         self._sock: socket.socket | None = None
 
     def open(self) -> None:
-        """Wait for a successor from now on, in the place of whatever waited there before."""
+        """Wait for a successor from now on; replaces the socket file of any earlier process."""
         self.close()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        fresh = self._folder / f"{FILE}.{os.getpid()}"
+        temporary = self._folder / f"{FILE}.{os.getpid()}"
         try:
-            fresh.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
             before = os.umask(0o177)
             try:
-                with _short(fresh) as path:
+                with _socket_path(temporary) as path:
                     sock.bind(path)
             finally:
                 os.umask(before)
             sock.listen(4)
             sock.setblocking(False)
-            fresh.replace(self._folder / FILE)
+            temporary.replace(self._folder / FILE)
         except OSError as error:
             log(f"no successor can be given the listener: {error}")
             sock.close()
             return
         self._sock = sock
-        self._loop.watch(sock.fileno(), READ, self._called)
+        self._loop.watch(sock.fileno(), READ, self._on_connect)
 
     def close(self) -> None:
-        """Wait for no successor; the file stays, and says to whoever calls that nobody is here."""
+        """Stop waiting for a successor; the file stays, and connecting to it is refused."""
         if self._sock is not None:
             self._loop.unwatch(self._sock.fileno())
             self._sock.close()
             self._sock = None
 
-    def _called(self, _: int) -> None:
+    def _on_connect(self, _: int) -> None:
         if self._sock is None:
             return
         try:
@@ -252,7 +253,7 @@
         except OSError:
             return
         try:
-            if not _ours(successor):
+            if not _is_own_user(successor):
                 raise OSError("another user's process asked for the listener")
             hello = json.dumps({"what": "hello"}).encode()
             socket.send_fds(successor, [hello], [self._listener.fileno()])
--- a/reedmount/fronts/platform.py
+++ b/reedmount/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's callers: all their connections, who makes room, and what each is told."""
+"""The platform's client connections: accepts, evicts and drains them, and delivers releases on them."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.core.lifecycle import Need, Phase
 from reedmount.core.switch import Switch
-from reedmount.fronts.client_connection import SETTLED, Claim, Link
+from reedmount.fronts.client_connection import DRAIN_QUIET_PERIOD, ClientConnection, RetentionPriority
 from reedmount.fronts.handover import REPORT_INTERVAL, HandoverMessage, HandoverPeer
 from reedmount.net.connection import Address, Listener, bind
 from reedmount.net.loop import Loop
 
-LOOK_EVERY = timedelta(milliseconds=100)  # at connections that say or get nothing
-LOOKED_AT = 64  # in a slice of background work
-MADE_ROOM = 8  # connections that go at once where they are silent or stalled
-LAST_WORD = timedelta(milliseconds=3600)  # after SIGTERM: so long at most a message on its way is waited for
-LOOK_AT_END = timedelta(milliseconds=5)  # at connections, once all of them are to be closed
-LAST_ACCEPT = timedelta(milliseconds=120)  # a set-up that crossed a close comes again on a new connection
-KEPT_RELEASES = 4096
-CONFIRMED_WITHIN = timedelta(milliseconds=300)  # a release; it has to be told within a second
-RELEASE_TRIES = 3  # connections that a release is sent on
-RELAYED = 16  # releases of unknown calls passed on to all servers, for each span of this length
-RELAY_SPAN = timedelta(milliseconds=250)
-UNWATCHED = 6  # descriptors of a process that its loop does not hear of
-SPARE = 8  # descriptors that nobody holds: what is dialled or accepted next
-MIN_ROOM = 8  # connections, however many the other process of an upgrade holds
+SWEEP_INTERVAL = timedelta(milliseconds=100)  # between two searches for expired connections
+SWEEP_BATCH = 64  # connections checked in one slice of background work
+MAX_EVICTED = 8  # silent or stalled connections closed at once to make room
+FINISH_TIMEOUT = timedelta(milliseconds=3600)  # after SIGTERM, for messages that are still being transferred
+CLOSE_ALL_INTERVAL = timedelta(milliseconds=5)  # between two checks, once all connections are to be closed
+RECONNECT_WAIT = timedelta(milliseconds=120)  # a set-up that crossed a close comes again on a new connection
+MAX_WAITING_RELEASES = 4096
+CONFIRM_TIMEOUT = timedelta(milliseconds=300)  # for a release, which must be delivered within a second
+MAX_RELEASE_TRIES = 3  # connections that a release is sent on
+MAX_RELAYED = 16  # releases of unknown calls passed on to all servers in one RELAY_INTERVAL
+RELAY_INTERVAL = timedelta(milliseconds=250)
+UNWATCHED_DESCRIPTORS = 6  # descriptors of a process that its event loop does not watch
+SPARE_DESCRIPTORS = 8  # kept free for the next connections that are dialled or accepted
+MIN_CONNECTIONS = 8  # allowed however many descriptors the other process of an upgrade holds
 
 
-def _release_of(word: HandoverMessage) -> tuple[str, int]:
-    return str(word["name"]), int(word["cause"])
+def _release_of(message: HandoverMessage) -> tuple[str, int]:
+    return str(message["name"]), int(message["cause"])
 
 
 class Callers:
-    """All callers' connections."""
+    """All client connections of the platform."""
 
     def __init__(
         self, loop: Loop, switch: Switch, address: Address, max_connections: int,
@@ -44,79 +44,81 @@
     ) -> None:  # fmt: skip
         self.loop, self.switch = loop, switch
         self.handover_peer = HandoverPeer(loop)
-        self._held_there = 0  # descriptors of the other process
+        self._peer_descriptors = 0  # held by the other process of an upgrade
         self.reserve = 0  # descriptors that a successor needs before it is ready
         self._relayed, self._relayed_since = 0, loop.clock.now()
-        self.max_connections = max_connections  # connections
+        self.max_connections = max_connections
         self.descriptors = descriptors  # of the process
-        self._links: dict[Link, None] = {}
-        self._changed_at = loop.clock.now()  # when one came or ended last
-        self.homes: dict[str, Link] = {}  # where calls that stand were answered
+        self._clients: dict[ClientConnection, None] = {}
+        self._changed_at = loop.clock.now()  # when a connection was last accepted or ended
+        self.clients_by_call: dict[str, ClientConnection] = {}  # where established calls were answered
         self._waiting: dict[str, int] = {}  # releases for which no connection is open
         self.listener = Listener(loop, given or bind(address, shared=True), self._accept)
-        self._unheard: dict[str, list[Link]] = {}  # releases not confirmed, and where they were sent
-        self._confirming = False  # clients confirm releases: that is free
-        self._emptying = False
-        switch.lifecycle.on_change(self._empty)
+        self._unconfirmed: dict[str, list[ClientConnection]] = {}  # releases, and where each was sent
+        self._confirming = False  # whether clients confirm releases, which is optional
+        self._draining = False
+        switch.lifecycle.on_change(self._start_drain)
         if given is None:
             self.listener.start()
         switch.lifecycle.satisfy(Need.LISTENING)
-        switch.on_unknown_release(self._orphan)
-        self.handover_peer.on("bye", self._heard_bye)
-        self.handover_peer.on("cancel", self._heard_cancel)
-        self.handover_peer.on("server_bye", self._heard_server_bye)
-        self.handover_peer.on("release", self._heard_release)
-        self.handover_peer.on("held", self._heard_held)
-        loop.background.every("links", LOOK_EVERY, self._look, Urgency.SWEEP)
+        switch.on_unknown_release(self._release_unknown)
+        self.handover_peer.on("bye", self._on_bye)
+        self.handover_peer.on("cancel", self._on_cancel)
+        self.handover_peer.on("server_bye", self._on_server_bye)
+        self.handover_peer.on("release", self._on_release)
+        self.handover_peer.on("held", self._on_descriptors)
+        loop.background.every("links", SWEEP_INTERVAL, self._sweep, Urgency.SWEEP)
 
     @property
     def address(self) -> Address:
-        """Where callers connect."""
+        """Where clients connect."""
         return self.listener.address
 
     @property
     def handed_over(self) -> bool:
-        """Whether new connections go to another process that is there."""
-        return self.switch.lifecycle.superseded and self.handover_peer.there
+        """Whether new connections go to another process that is still connected."""
+        return self.switch.lifecycle.superseded and self.handover_peer.connected
 
     def hand_over(self) -> None:
-        """Another process accepts from now on; what is here is gone through as in a drain."""
+        """Let another process accept from now on; the connections here are drained."""
         self.listener.stop()
         self.switch.lifecycle.supersede(True)
-        self._empty()  # also where the end had begun before
-        self._tell_held()
+        self._start_drain()  # also where the shutdown had begun before
+        self._report_descriptors()
 
     def take_back(self) -> None:
-        """The other process has died: whatever waits at the listener is ours again."""
-        self._held_there = self.reserve = 0
+        """The other process has died: accept again, also what waits at the listener."""
+        self._peer_descriptors = self.reserve = 0
         if self.switch.lifecycle.superseded:
             self.switch.lifecycle.supersede(False)
             self.listener.start()
 
-    def _tell_held(self) -> None:
-        if self.handed_over and self.handover_peer.tell("held", count=self.loop.watched_count + UNWATCHED):
-            self.loop.call_later(REPORT_INTERVAL, self._tell_held)
+    def _report_descriptors(self) -> None:
+        if self.handed_over and self.handover_peer.notify(
+            "held", count=self.loop.watched_count + UNWATCHED_DESCRIPTORS
+        ):
+            self.loop.call_later(REPORT_INTERVAL, self._report_descriptors)
 
-    def _heard_held(self, word: HandoverMessage) -> None:
-        self._held_there = int(word["count"])
+    def _on_descriptors(self, message: HandoverMessage) -> None:
+        self._peer_descriptors = int(message["count"])
 
-    def _heard_bye(self, word: HandoverMessage) -> None:
-        """A caller ended a call there that is not known there."""
-        name, cause = _release_of(word)
+    def _on_bye(self, message: HandoverMessage) -> None:
+        """A caller released a call that the other process does not know."""
+        name, cause = _release_of(message)
         if self.switch.has_call(name) or self.may_relay():
             self.switch.caller_released(name, cause)
 
-    def _heard_cancel(self, word: HandoverMessage) -> None:
-        """A caller gave up a set-up there that is not known there."""
-        any(link.cancel(str(word["name"])) for link in list(self._links))
+    def _on_cancel(self, message: HandoverMessage) -> None:
+        """A caller cancelled a set-up that the other process does not know."""
+        any(client.cancel(str(message["name"])) for client in list(self._clients))
 
-    def _heard_release(self, word: HandoverMessage) -> None:
-        """A call of the other process is over, and it has no connection to say so."""
-        self.release(*_release_of(word), None, here=True)
+    def _on_release(self, message: HandoverMessage) -> None:
+        """A call of the other process is over, and it has no connection to deliver the release on."""
+        self.release(*_release_of(message), None, here=True)
 
-    def _heard_server_bye(self, word: HandoverMessage) -> None:
-        """A server released a call there that is not known there."""
-        name, cause = _release_of(word)
+    def _on_server_bye(self, message: HandoverMessage) -> None:
+        """A server released a call that the other process does not know."""
+        name, cause = _release_of(message)
         if self.switch.has_call(name):
             self.switch.server_released(name, cause)
         else:
@@ -124,170 +126,171 @@
 
     @property
     def room(self) -> int:
-        """How many connections there may be, with those of another process taken into account.
+        """How many connections there may be, with the descriptors of another process taken into account.
 
-        What the rest of this process holds (a crowd of connections to call servers that broke) goes first:
-        the notice board would have no descriptor left to be asked with.
+        Other descriptors of this process (for example many connections to call servers that broke) are
+        subtracted first: otherwise none would be left for polling the notice board.
         """
-        others = self.loop.watched_count - len(self._links) + UNWATCHED + SPARE
-        most = min(self.max_connections, self.descriptors - others)
-        return max(min(MIN_ROOM, self.max_connections), most - self._held_there - self.reserve)
+        others = self.loop.watched_count - len(self._clients) + UNWATCHED_DESCRIPTORS + SPARE_DESCRIPTORS
+        limit = min(self.max_connections, self.descriptors - others)
+        return max(min(MIN_CONNECTIONS, self.max_connections), limit - self._peer_descriptors - self.reserve)
 
-    def _orphan(self, name: str, cause: int) -> None:
+    def _release_unknown(self, name: str, cause: int) -> None:
         """A server released a call that is not known here: the other process may know it."""
-        if not self.handover_peer.tell("server_bye", name=name, cause=cause):
+        if not self.handover_peer.notify("server_bye", name=name, cause=cause):
             self.release(name, cause, None)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is on its way from or to a caller, and none uses what another should serve."""
-        used = self.handed_over and any(link.heard for link in self._links)
+        """Whether nothing is in transit from or to a client, and none uses what another should serve."""
+        used = self.handed_over and any(client.received_message for client in self._clients)
         return not self._waiting and not used and not self._unfinished
 
     @property
     def _unfinished(self) -> bool:
-        """Whether to wait for a message or an answer; no longer than the end may take."""
+        """Whether to wait for a message or an answer; limited by the time that the shutdown may take."""
         now, shutdown = self.loop.clock.now(), self.switch.lifecycle.shutdown
-        over = shutdown is not None and now - shutdown.since > LAST_WORD
-        return not over and any(link.unfinished(now) for link in self._links)
+        expired = shutdown is not None and now - shutdown.since > FINISH_TIMEOUT
+        return not expired and any(client.has_unfinished(now) for client in self._clients)
 
-    def release(self, name: str, cause: int, link: Link | None, here: bool = False) -> None:
-        """Tell callers that a call is over: on its connection, another that has set up calls, or the next.
+    def release(self, name: str, cause: int, client: ClientConnection | None, here: bool = False) -> None:
+        """Send a release on the call's connection, on another that has set up calls, or on the next one.
 
-        Not on one that never set up a call: clients that test once and keep the connection for good hear a
-        release and pass it on to nobody.
+        Connections that never set up a call are left out: clients that probe once and keep the connection
+        receive a release there and do not process it.
         """
-        if link is None or link.connection.ended:
-            host = link.host if link is not None else ""
-            able = [other for other in self._links if other.set_ups and not other.connection.ended]
-            link = max(able, key=lambda other: other.fitness(host), default=None)
-        if link is not None:
-            link.send_release(name, cause)
-            self._expect_heard(name, cause, link)
-        elif not here and self.handed_over and self.handover_peer.tell("release", name=name, cause=cause):
-            return  # no connection comes here any more
-        elif len(self._waiting) < KEPT_RELEASES:
+        if client is None or client.connection.ended:
+            host = client.host if client is not None else ""
+            able = [other for other in self._clients if other.setup_count and not other.connection.ended]
+            client = max(able, key=lambda other: other.fitness(host), default=None)
+        if client is not None:
+            client.send_release(name, cause)
+            self._await_confirmation(name, cause, client)
+        elif not here and self.handed_over and self.handover_peer.notify("release", name=name, cause=cause):
+            return  # no new connection will come to this process
+        elif len(self._waiting) < MAX_WAITING_RELEASES:
             self._waiting[name] = cause
         else:
             COUNTERS.add("released.untold")
             self.loop.trace("release.untold", call=name)
 
-    def _expect_heard(self, name: str, cause: int, link: Link) -> None:
-        """A connection may be silently dead: what is not confirmed there in time goes another way as well."""
-        tried = self._unheard.setdefault(name, [])
-        tried.append(link)
-        if len(self._unheard) > KEPT_RELEASES:
-            del self._unheard[next(iter(self._unheard))]
-        self.loop.call_later(CONFIRMED_WITHIN, lambda: self._look_unheard(name, cause))
-
-    def _look_unheard(self, name: str, cause: int) -> None:
-        tried = self._unheard.get(name, [])
-        waiting = any(link.awaits(name) for link in tried)
-        able = [link for link in self._links if link.set_ups and link not in tried]
-        if not waiting or not self._confirming or len(tried) >= RELEASE_TRIES or not able:
-            self._unheard.pop(name, None)  # heard, or left to the end of the connections that it was sent on
+    def _await_confirmation(self, name: str, cause: int, client: ClientConnection) -> None:
+        """Send a release on another connection if it is not confirmed in time: this one may be dead."""
+        tried = self._unconfirmed.setdefault(name, [])
+        tried.append(client)
+        if len(self._unconfirmed) > MAX_WAITING_RELEASES:
+            del self._unconfirmed[next(iter(self._unconfirmed))]
+        self.loop.call_later(CONFIRM_TIMEOUT, lambda: self._check_confirmation(name, cause))
+
+    def _check_confirmation(self, name: str, cause: int) -> None:
+        tried = self._unconfirmed.get(name, [])
+        waiting = any(client.awaits_confirmation(name) for client in tried)
+        able = [client for client in self._clients if client.setup_count and client not in tried]
+        if not waiting or not self._confirming or len(tried) >= MAX_RELEASE_TRIES or not able:
+            self._unconfirmed.pop(name, None)  # confirmed, or sent again when one of its connections ends
             return
         COUNTERS.add("released.unconfirmed")
-        link = max(able, key=lambda other: other.connection.last_received_at)
-        link.send_release(name, cause)
-        self._expect_heard(name, cause, link)
+        client = max(able, key=lambda other: other.connection.last_received_at)
+        client.send_release(name, cause)
+        self._await_confirmation(name, cause, client)
 
-    def release_heard(self, name: str) -> None:
+    def release_confirmed(self, name: str) -> None:
         """A client has confirmed a release."""
         self._confirming = True
-        for link in self._unheard.pop(name, ()):
-            link.release_heard(name)
+        for client in self._unconfirmed.pop(name, ()):
+            client.release_confirmed(name)
 
     def has_untold_release(self, name: str) -> bool:
-        """Whether a release waits for a connection that this process will not see any more."""
+        """Whether a release waits for a connection that this process will not accept any more."""
         return name in self._waiting and self.switch.lifecycle.phase is Phase.ENDING
 
-    def send_waiting_releases(self, link: Link) -> None:
-        """A connection has brought a set-up: what waited for one is told there."""
+    def send_waiting_releases(self, client: ClientConnection) -> None:
+        """Send the waiting releases on a connection that has brought a set-up."""
         if self._waiting:
             waiting, self._waiting = self._waiting, {}
             for name, cause in waiting.items():
-                link.send_release(name, cause)
+                client.send_release(name, cause)
 
-    def over(self, name: str) -> None:
-        """A call that stood is over."""
-        home = self.homes.pop(name, None)
-        if home is not None:
-            home.over(name)
+    def call_over(self, name: str) -> None:
+        """An established call is over."""
+        client = self.clients_by_call.pop(name, None)
+        if client is not None:
+            client.call_over(name)
 
-    def drop(self, link: Link) -> None:
+    def remove(self, client: ClientConnection) -> None:
         """A connection has ended."""
         self._changed_at = self.loop.clock.now()
-        self._links.pop(link, None)
+        self._clients.pop(client, None)
 
     def may_relay(self) -> bool:
-        """Whether the release of a call that is not known goes to all servers.
+        """Whether the release of an unknown call is relayed to all servers.
 
-        It may be from before a restart; but a caller that makes numbers up must not keep the servers busy.
+        The call may be from before a restart. The rate is limited so that a client that invents call
+        names cannot keep the servers busy.
         """
         self._relayed += 1
-        return self._relayed <= RELAYED
+        return self._relayed <= MAX_RELAYED
 
-    def nothing_open(self, link: Link) -> None:
-        """Late in a drain the first moment counts in which no set-up is open on a connection."""
-        if self._emptying:
-            self.loop.call_soon(lambda: self._close_settled([link]))
+    def no_open_setups(self, client: ClientConnection) -> None:
+        """Late in a drain a connection is closed at the first moment without an open set-up."""
+        if self._draining:
+            self.loop.call_soon(lambda: self._close_drainable([client]))
 
-    def _empty(self) -> None:
-        """A drain begins: look at the connections until it is over."""
-        if not self._emptying:
-            self._close_drained()
+    def _start_drain(self) -> None:
+        """Check the connections repeatedly until the drain is over."""
+        if not self._draining:
+            self._drain()
 
-    def _close_drained(self) -> None:
+    def _drain(self) -> None:
         shutdown = self.switch.lifecycle.shutdown
-        self._emptying = shutdown is not None
+        self._draining = shutdown is not None
         if shutdown is not None:
-            self._close_settled(list(self._links))
+            self._close_drainable(list(self._clients))
             last = shutdown.closes_all_connections(self.loop.clock.now())
-            self.loop.call_later(LOOK_AT_END if last else SETTLED, self._close_drained)
+            self.loop.call_later(CLOSE_ALL_INTERVAL if last else DRAIN_QUIET_PERIOD, self._drain)
 
     @property
     def all_clients_gone(self) -> bool:
-        """Whether no client is here any more and none can be on its way."""
-        return not self._links and self.loop.clock.now() - self._changed_at >= LAST_ACCEPT
+        """Whether no client is connected and none can be about to connect."""
+        return not self._clients and self.loop.clock.now() - self._changed_at >= RECONNECT_WAIT
 
-    def _close_settled(self, links: list[Link]) -> None:
+    def _close_drainable(self, clients: list[ClientConnection]) -> None:
         now, shutdown = self.loop.clock.now(), self.switch.lifecycle.shutdown
-        for link in links:
-            if shutdown is not None and not link.connection.ended and link.settled(now, shutdown):
+        for client in clients:
+            if shutdown is not None and not client.connection.ended and client.is_drainable(now, shutdown):
                 COUNTERS.add("in.drained")
-                link.close("clients are to go", softly=True)
+                client.close("drained", gracefully=True)
 
-    def _look(self) -> Slices:
-        """Close the connections that only take room, some of them a slice."""
+    def _sweep(self) -> Slices:
+        """Close expired connections, checking some of them in each slice."""
         now = self.loop.clock.now()
-        if now - self._relayed_since >= RELAY_SPAN:
+        if now - self._relayed_since >= RELAY_INTERVAL:
             self._relayed, self._relayed_since = 0, now
-        for place, link in enumerate(list(self._links), 1):
-            if link in self._links and link.overdue(now):
+        for position, client in enumerate(list(self._clients), 1):
+            if client in self._clients and client.is_expired(now):
                 COUNTERS.add("in.closed")
-                link.close("silent, stuck or idle for too long", softly=True)
-            if not place % LOOKED_AT:
+                client.close("silent, stuck or idle for too long", gracefully=True)
+            if not position % SWEEP_BATCH:
                 yield
 
     def _make_room(self) -> bool:
-        """Close the connection with the least claim; several where they say nothing, as each look costs."""
+        """Evict the connection of the lowest priority; several if silent or stalled, as ranking is costly."""
         now = self.loop.clock.now()
-        ranked = heapq.nsmallest(MADE_ROOM, self._links, key=lambda link: link.claim(now))
-        for place, link in enumerate(ranked):
-            claim = link.claim(now)[0]
-            if claim is Claim.IN_USE or (place and claim > Claim.STALLED):
-                return place > 0
+        ranked = heapq.nsmallest(MAX_EVICTED, self._clients, key=lambda client: client.priority(now))
+        for position, client in enumerate(ranked):
+            priority = client.priority(now)[0]
+            if priority is RetentionPriority.IN_USE or (position and priority > RetentionPriority.STALLED):
+                return position > 0
             COUNTERS.add("in.pushed_out")
-            link.close(f"makes room, {claim.name.lower()}")
+            client.close(f"evicted to make room, {priority.name.lower()}")
         return bool(ranked)
 
     def _accept(self, sock: socket.socket) -> None:
         COUNTERS.add("in.connections")
-        while len(self._links) >= self.room:  # which may have become less
+        while len(self._clients) >= self.room:  # the limit may have become lower
             if not self._make_room():
                 COUNTERS.add("in.no_room")
                 sock.close()
                 return
         self._changed_at = self.loop.clock.now()
-        self._links[Link(self, sock)] = None
+        self._clients[ClientConnection(self, sock)] = None
--- a/reedmount/node.py
+++ b/reedmount/node.py
@@ -102,7 +102,7 @@
             if self._lifecycle.ready and not self._took:
                 self._took = True
                 callers.listener.start()
-                callers.handover_peer.tell("ready")
+                callers.handover_peer.notify("ready")
 
         self._lifecycle.on_change(ready)
         self._loop.call_later(NEWS_WAIT, lambda: self._lifecycle.satisfy(Need.LIST_UPDATE))
--- a/tests/test_door.py
+++ b/tests/test_admin.py
@@ -96,9 +96,9 @@
     """Some connect and say nothing for seconds, some amid a call: whoever has one to make is still heard."""
     silent = [stage.visit(b"GET /adm" if n % 2 else b"") for n in range(3 * MAX_ADMIN_CONNECTIONS)]
     assert stage.call(HEALTH)[0] == 200
-    assert len(stage.admin_server._visitors) <= MAX_ADMIN_CONNECTIONS
+    assert len(stage.admin_server._connections) <= MAX_ADMIN_CONNECTIONS
     stage.wait(timedelta(seconds=6))
-    assert not stage.admin_server._visitors
+    assert not stage.admin_server._connections
     for sock in silent:
         sock.close()
 
@@ -193,13 +193,13 @@
 def test_a_set_up_that_lies_unread_keeps_its_connection(stage: Building) -> None:
     """It was on its way as the connection was closed: reset, and the request was lost."""
     stage.play("caller send OPTIONS t\n caller expect 200 t")
-    link = next(iter(stage.callers._links))
+    client = next(iter(stage.callers._clients))
     stage.wait(timedelta(seconds=1))
     now = stage.loop.clock.now()
-    assert link.settled(now, Shutdown(now - timedelta(seconds=3)))
+    assert client.is_drainable(now, Shutdown(now - timedelta(seconds=3)))
     caller = stage.peers["caller"]
     caller.write(caller.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode())
-    assert not link.settled(now, Shutdown(now - timedelta(seconds=3)))
+    assert not client.is_drainable(now, Shutdown(now - timedelta(seconds=3)))
 
 
 def test_the_door_s_descriptors_are_set_aside(tmp_path: Path) -> None:
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -210,7 +210,7 @@
     told: list[ListedServer] = []
 
     class Side:
-        listed = staticmethod(told.extend)
+        servers_changed = staticmethod(told.extend)
 
     switch.attach(Side())  # type: ignore[arg-type]
     known = {"rev": 1, "notices": [notice(1, host("a", born=1500), whole=True)]}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.core.clock import ZERO
 from reedmount.core.ports import Setup
-from reedmount.core.shutdown import ANSWERED_WITHIN
+from reedmount.core.shutdown import ANSWER_WITHIN
 from reedmount.net.connection import Connection, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.message import response
@@ -87,11 +87,11 @@
     """Nobody had the call, and it kept its line until its server ended it."""
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1")
-    link, stands = next(iter(stage.callers._links)), stage.switch.established
+    client, original = next(iter(stage.callers._clients)), stage.switch.established
 
     def close_first(name: str, attempt: int, description: bytes) -> bool:
-        link.connection.close(EndReason.RESET)  # seen between the answer's coming and its passing on
-        return stands(name, attempt, description)
+        client.connection.close(EndReason.RESET)  # seen between the answer's coming and its passing on
+        return original(name, attempt, description)
 
     monkeypatch.setattr(stage.switch, "established", close_first)
     stage.play("server send 200 INVITE c1 | there\n server expect ACK c1\n server expect BYE c1")
@@ -120,13 +120,13 @@
     """It had come whole: the close was a reset, and the request was lost with no word."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n caller expect 200 t")
-    link = next(iter(stage.callers._links))
+    client = next(iter(stage.callers._clients))
     stage.time.seconds += 6
     now = stage.loop.clock.now()
-    assert link.overdue(now)
+    assert client.is_expired(now)
     caller = stage.peers["caller"]
     caller.write(caller.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode())
-    assert not link.overdue(now)
+    assert not client.is_expired(now)
 
 
 # --- call servers close, come up late, hang ---
@@ -192,14 +192,14 @@
     for peer in crowd:
         peer.write(peer.request("OPTIONS", "t", {}, b"").encode())
     stage.settle()
-    assert len(stage.callers._links) == 11
+    assert len(stage.callers._clients) == 11
     stage.callers.descriptors = stage.loop.watched_count + 14  # what it does not hear of, and a few to spare
     stage.peer("second", "thin")
     stage.tell("server", "second")  # one more connection
     late = stage.peer("late", "thin", stage.callers.address)
     late.write(late.request("OPTIONS", "t", {}, b"").encode())
     stage.settle()
-    assert len(stage.callers._links) == 10
+    assert len(stage.callers._clients) == 10
 
 
 @pytest.mark.parametrize("given_up", [False, True])
@@ -315,7 +315,7 @@
         server expect INVITE c2
     """)
     stage.switch.lifecycle.end()
-    stage.loop.call_later(ANSWERED_WITHIN, stage.switch.answer_all_pending)
+    stage.loop.call_later(ANSWER_WITHIN, stage.switch.answer_all_pending)
     stage.play("wait 3250\n caller expect nothing\n wait 100\n caller expect 503 c1\n caller expect 500 c2")
     stage.play("server expect CANCEL\n server expect CANCEL\n wait 400\n server expect nothing")
     assert stage.switch.is_idle
@@ -345,11 +345,11 @@
     """A client that reads late found its answers cut off by the end of the process."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n caller expect 200 t")
-    link = next(iter(stage.callers._links))
+    client = next(iter(stage.callers._clients))
     stage.switch.lifecycle.end()
     assert stage.callers.is_idle
-    while link.connection.idle:
-        link.connection.send(b"x" * 65536)
+    while client.connection.idle:
+        client.connection.send(b"x" * 65536)
     assert not stage.callers.is_idle
     stage.time.seconds += 4
     assert stage.callers.is_idle, "no longer than there is time"
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -206,7 +206,7 @@
                 stage.loop.turn(ZERO)
         far.send(seeds[0])
         stage.settle()
-        assert heard and heard[-1] == {"what": "held", "count": 3} and stage.callers.handover_peer.there
+        assert heard and heard[-1] == {"what": "held", "count": 3} and stage.callers.handover_peer.connected
 
 
 def test_the_thin_front() -> None:
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -280,8 +280,8 @@
     """The close was a reset to whatever was on its way, and took the answer with it."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n wait 5")
-    link = next(iter(stage.callers._links))
-    link.close("a test", softly=True)
+    client = next(iter(stage.callers._clients))
+    client.close("a test", gracefully=True)
     caller = stage.peers["caller"]
     for _ in range(3):
         caller.write(caller.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode())
@@ -289,4 +289,4 @@
     stage.play("caller expect 200 t\n caller expect CLOSED")
     watched = stage.loop.watched_count
     stage.play("wait 150")
-    assert stage.loop.watched_count <= watched and not stage.callers._links
+    assert stage.loop.watched_count <= watched and not stage.callers._clients
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -424,7 +424,7 @@
         if number == 6:
             stage.play("other send OPTIONS t\n other expect 200 t")
     stage.play("server expect INVITE c1\n server send 200 INVITE\n slow expect 200 c1\n slow expect nothing")
-    assert len(stage.callers._links) <= 6
+    assert len(stage.callers._clients) <= 6
     for sock in crowd:
         sock.close()
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -53,7 +53,7 @@
         self.successor.pool_changed(1, i.ListKind.CHANGES, [entry])
 
     def ready(self) -> None:
-        self.new.handover_peer.tell("ready")
+        self.new.handover_peer.notify("ready")
         self.settle()
 
 
@@ -107,7 +107,7 @@
         crowd = [socket.create_connection(stage.callers.address) for _ in range(8)]
         stage.wait(timedelta(milliseconds=600))
         stage.callers.max_connections = 3
-    assert len(stage.callers._links) == 3
+    assert len(stage.callers._clients) == 3
     for sock in crowd:
         sock.close()
 
@@ -169,10 +169,10 @@
     stage.ready()
     stage.wait(timedelta(milliseconds=250))
     assert stage.new.room == 100 - stage.loop.watched_count - 6
-    stage.new.handover_peer._hear({"what": "held", "count": 1000})
+    stage.new.handover_peer._dispatch({"what": "held", "count": 1000})
     assert stage.new.room == 8
-    stage.new.handover_peer._hear({"what": "held"})
-    stage.new.handover_peer._hear({"what": "a word of another version"})
+    stage.new.handover_peer._dispatch({"what": "held"})
+    stage.new.handover_peer._dispatch({"what": "a word of another version"})
     assert stage.new.room == 8
 
 
@@ -181,7 +181,7 @@
     client = socket.create_connection(stage.callers.address)  # waits at the listener
     client.sendall(b"OPTIONS sip:p@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
     stage.settle()
-    assert not stage.callers._links
+    assert not stage.callers._clients
     assert stage.new.handover_peer._channel is not None
     stage.new.handover_peer._channel.close()
     stage.settle()
