--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,6 +1,7 @@
 """A small scenario language for both fronts: send, expect, close, wait. Real loopback sockets, virtual time.
 
-Each line is ``WHO VERB WORDS``; WHO is the name of a peer of the stage. ``wait 300`` lets 300 ms pass.
+Each line is ``PEER VERB ARGUMENTS``; PEER is the name of a peer of the stage. ``wait 300`` advances the time
+by 300 ms.
 
     caller send INVITE c1 x-cos=small x-timer-ms=1500 | hello
     server expect INVITE body=hello
@@ -10,8 +11,8 @@
 
 ``send METHOD ID`` is a request of that Call-ID, ``send STATUS METHOD [ID]`` answers the last request of that
 method (and Call-ID). In ``expect``, ``key=value`` names a header, ``body=`` the body, ``key=*`` any value.
-The thin protocol's peers write short names as its 16 hex digits and end a body's line; answers go where the
-request came from, else on the latest connection.
+Peers of the thin protocol write short names as its 16 hex digits and terminate the line of a body; answers
+are sent on the connection of the request, or else on the latest one.
 """
 
 from __future__ import annotations
@@ -30,15 +31,18 @@
 from reedmount.sip.framing import next_message
 from reedmount.sip.message import Message, parameter, parse_datagram, request, response
 
-PATIENCE_S = 5.0  # real seconds until a message that was due is missed
-QUIET_S = 0.02  # real seconds of silence that pass for nothing more to come
+MESSAGE_TIMEOUT_S = 5.0  # in real time, for an expected message
+QUIET_S = 0.02  # in real time, without any activity: nothing more is expected
 STEP = timedelta(milliseconds=5)
 HOST = "127.0.0.1"
 
 
 @contextmanager
-def crowded() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
-    """A listener whose backlog is full: connections come up once it accepts, or those that fill it close."""
+def full_backlog() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
+    """A listener whose backlog is full, and the sockets that fill it.
+
+    Connections are established once it accepts, or once the sockets that fill it are closed.
+    """
     with socket.socket() as full:
         full.bind((HOST, 0))
         full.listen(0)
@@ -52,7 +56,7 @@
 
 
 class VirtualTime:
-    """A clock that goes on only when it is told to."""
+    """A clock that advances only when the test advances it."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -60,24 +64,24 @@
 
 
 def digits(name: str) -> str:
-    """A short name as the thin protocol has it."""
+    """A short name as a Call-ID of the thin protocol."""
     return name if re.fullmatch("[0-9a-f]{16}", name) else name.encode().hex()[:16].rjust(16, "0")
 
 
 class Peer:
-    """A client or server written for the tests: a TCP caller, a TCP server or a UDP phone or server."""
+    """A client or server for the tests: a TCP client, a TCP server, or a UDP client or server."""
 
     def __init__(self, stage: Stage, kind: str, to: tuple[str, int] | None) -> None:
         self.stage, self.kind, self.to = stage, kind, to
-        self.heard: list[Message] = []  # every request, to answer
-        self.inbox: list[Message] = []  # what has not been expected yet
+        self.requests: list[Message] = []  # every request that was received
+        self.inbox: list[Message] = []  # messages that no scenario line has expected yet
         self.invites: dict[str, Message] = {}
         self.tags: dict[str, str] = {}  # the far side's tag by Call-ID
-        self.sock: socket.socket | None = None  # the latest that was opened or heard on
+        self.sock: socket.socket | None = None  # the latest that was opened or received on
         self.rings: dict[socket.socket, Ring] = {}
-        self.came: dict[int, socket.socket] = {}  # where a message was heard
+        self.received_on: dict[int, socket.socket] = {}  # the connection by the id() of the message
         self.listener: socket.socket | None = None
-        self.answers = True  # tests; a silent one takes them and says nothing
+        self.answers_probes = True  # or reads them and does not respond
         if kind == "udp":
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             self.sock.bind((HOST, 0))
@@ -86,7 +90,7 @@
         self.port: int = (self.sock or self.listener or socket.socket()).getsockname()[1]
 
     def pump(self) -> bool:
-        """Take what has come; whether there was anything."""
+        """Read what has arrived; returns whether there was anything."""
         if self.listener is not None and select.select([self.listener], [], [], 0)[0]:
             self.sock, _ = self.listener.accept()
             self.rings[self.sock] = Ring(1 << 20)
@@ -109,8 +113,8 @@
                 before, self.sock = self.sock, sock
                 self.rings[sock].write(data)
                 while (message := next_message(self.rings[sock])) is not None:
-                    self.came[id(message)] = sock
-                    if self.passes_test(message):
+                    self.received_on[id(message)] = sock
+                    if self.answers_probe(message):
                         sock.sendall(response(message, 200).encode())
                         self.sock = before or sock
                     else:
@@ -123,9 +127,9 @@
         if self.sock is sock:
             self.sock = next(reversed(self.rings), None)
 
-    def passes_test(self, message: Message) -> bool:
-        """A call server of the platform passes a test at once; scenarios need no line for it."""
-        serves = self.kind == "thin" and self.listener is not None and self.answers
+    def answers_probe(self, message: Message) -> bool:
+        """Whether it is a probe that a call server of the platform answers without a line in the scenario."""
+        serves = self.kind == "thin" and self.listener is not None and self.answers_probes
         return serves and message.method == "OPTIONS"
 
     def take(self, message: Message) -> None:
@@ -134,37 +138,39 @@
         if tag:
             self.tags[message.call_id] = tag
         if message.is_request:
-            self.heard.append(message)
+            self.requests.append(message)
         elif message.cseq[1] == "INVITE" and message.status >= 200 and self.kind != "thin":
             self.write(self.request("ACK", message.call_id, {}, b"").encode())
 
-    def request(self, method: str, name: str, words: dict[str, str], body: bytes) -> Message:
-        """A request; ACK and CANCEL take over what their INVITE had."""
-        name = self.named(name)
-        number = words.pop("cseq", "1" if method in ("INVITE", "ACK", "CANCEL", "OPTIONS") else "2")
-        branch = words.pop("branch", f"{name}-{'INVITE' if method in ('ACK', 'CANCEL') else method}{number}")
+    def request(self, method: str, name: str, fields: dict[str, str], body: bytes) -> Message:
+        """A request; ACK and CANCEL have the CSeq and branch of their INVITE."""
+        name = self.wire_name(name)
+        number = fields.pop("cseq", "1" if method in ("INVITE", "ACK", "CANCEL", "OPTIONS") else "2")
+        branch = fields.pop("branch", f"{name}-{'INVITE' if method in ('ACK', 'CANCEL') else method}{number}")
         transport = "UDP" if self.kind == "udp" else "TCP"
         tag = self.tags.get(name) if method not in ("INVITE", "CANCEL") else None
-        to = words.pop("to", f"<sip:4711@{HOST}>" + (f";tag={tag}" if tag else ""))
-        asked = [parameter(heard.get("To") or "", "tag") for heard in self.heard if heard.call_id == name]
-        own = (asked[0] or "s") if asked else name
+        to = fields.pop("to", f"<sip:4711@{HOST}>" + (f";tag={tag}" if tag else ""))
+        own_tags = [
+            parameter(other.get("To") or "", "tag") for other in self.requests if other.call_id == name
+        ]
+        own = (own_tags[0] or "s") if own_tags else name
         headers = [
             ("Via", f"SIP/2.0/{transport} {HOST}:{self.port};branch=z9hG4bK{branch};rport"),
-            ("Max-Forwards", words.pop("max-forwards", "70")),
-            ("From", f"<sip:{name}@{HOST}>;tag={words.pop('from-tag', own)}"), ("To", to),
+            ("Max-Forwards", fields.pop("max-forwards", "70")),
+            ("From", f"<sip:{name}@{HOST}>;tag={fields.pop('from-tag', own)}"), ("To", to),
             ("Call-ID", name), ("CSeq", f"{number} {method}"),
             ("Contact", f"<sip:{name}@{HOST}:{self.port}>"),
         ]  # fmt: skip
-        uri = words.pop("uri", f"sip:{self.named('4711')}@net")
-        return request(method, uri, [*headers, *((key.title(), text) for key, text in words.items())], body)
+        uri = fields.pop("uri", f"sip:{self.wire_name('4711')}@net")
+        return request(method, uri, [*headers, *((key.title(), text) for key, text in fields.items())], body)
 
-    def answer(self, status: int, method: str, name: str, words: dict[str, str], body: bytes) -> Message:
-        name = self.named(name) if name else ""
-        asked = [m for m in self.heard if m.method == method and (not name or m.call_id == name)][-1]
-        self.sock = self.came.get(id(asked), self.sock)
+    def answer(self, status: int, method: str, name: str, fields: dict[str, str], body: bytes) -> Message:
+        name = self.wire_name(name) if name else ""
+        original = [m for m in self.requests if m.method == method and (not name or m.call_id == name)][-1]
+        self.sock = self.received_on.get(id(original), self.sock)
         contact = [("Contact", f"<sip:server@{HOST}:{self.port}>")] if method == "INVITE" else []
-        extra = [*contact, *((key.title(), text) for key, text in words.items())]
-        return response(asked, status, extra, body, tag="s")
+        extra = [*contact, *((key.title(), text) for key, text in fields.items())]
+        return response(original, status, extra, body, tag="s")
 
     def write(self, data: bytes) -> None:
         if self.sock is None:
@@ -172,7 +178,7 @@
             self.sock = socket.create_connection(self.to)
             self.port, self.rings[self.sock] = self.sock.getsockname()[1], Ring(1 << 20)
         if self.kind == "udp":
-            assert self.to is not None, "nobody to send to"
+            assert self.to is not None, "no address to send to"
             self.sock.sendto(data, self.to)
         else:
             self.sock.sendall(data)
@@ -185,20 +191,20 @@
             self.drop(sock)
 
     def stop(self) -> None:
-        """Neither connections nor datagrams are taken any more."""
+        """Accept neither connections nor datagrams any more."""
         for sock in (self.listener, self.sock, *self.rings):
             if sock is not None:
                 sock.close()
         self.rings.clear()
         self.listener = self.sock = None
 
-    def named(self, name: str) -> str:
-        """A call's name as this peer writes it."""
+    def wire_name(self, name: str) -> str:
+        """The Call-ID that this peer writes for a call's name."""
         return digits(name) if self.kind == "thin" else name
 
 
 class Stage:
-    """A loop in virtual time, the peers, and the scenarios played on them."""
+    """An event loop in virtual time, the peers, and the scenarios that they play."""
 
     def __init__(self) -> None:
         self.time = VirtualTime()
@@ -210,7 +216,7 @@
         return made
 
     def play(self, scenario: str) -> None:
-        """Play a scenario; a line that fails is named."""
+        """Play a scenario; an error names the line that failed."""
         for line in (line.strip() for line in scenario.splitlines()):
             if line:
                 try:
@@ -219,14 +225,14 @@
                     raise AssertionError(f"{line!r}: {error}") from None
 
     def settle(self) -> None:
-        """Go on until nothing more happens."""
+        """Run the loop until there is no more activity."""
         quiet_at = time.monotonic() + QUIET_S
         while time.monotonic() < quiet_at:
             if self._turn():
                 quiet_at = time.monotonic() + QUIET_S
 
     def wait(self, span: timedelta) -> None:
-        """Let virtual time pass, in steps short enough for every timer to come in its order."""
+        """Advance the virtual time, in steps short enough to keep the order of the timers."""
         self.settle()
         end = self.time.seconds + span.total_seconds()
         while self.time.seconds < end - 1e-9:
@@ -241,40 +247,40 @@
 
     def _line(self, line: str) -> None:
         text, _, body = line.partition(" | ")
-        who, *words = text.split()
-        if who == "wait":
+        actor, *words = text.split()
+        if actor == "wait":
             self.wait(timedelta(milliseconds=int(words[0])))
             return
-        peer, verb, given = self.peers[who], words[0], [word for word in words[1:] if "=" not in word]
-        named = dict(word.split("=", 1) for word in words[1:] if "=" in word)
-        named = {key.lower(): value.replace("~", " ") for key, value in named.items()}
+        peer, verb, arguments = self.peers[actor], words[0], [word for word in words[1:] if "=" not in word]
+        fields = dict(word.split("=", 1) for word in words[1:] if "=" in word)
+        fields = {key.lower(): value.replace("~", " ") for key, value in fields.items()}
         if peer.kind == "thin" and body:
             body += "\r\n"
-        if verb == "send" and given[0].isdecimal():
-            name = given[2] if len(given) > 2 else ""
-            peer.write(peer.answer(int(given[0]), given[1], name, named, body.encode()).encode())
+        if verb == "send" and arguments[0].isdecimal():
+            name = arguments[2] if len(arguments) > 2 else ""
+            peer.write(peer.answer(int(arguments[0]), arguments[1], name, fields, body.encode()).encode())
         elif verb == "send":
-            if given[1] == "@":  # the call of the last set-up heard
-                given[1] = [heard for heard in peer.heard if heard.method == "INVITE"][-1].call_id
-            peer.write(peer.request(given[0], given[1], named, body.encode()).encode())
+            if arguments[1] == "@":  # the call of the last set-up received
+                arguments[1] = [other for other in peer.requests if other.method == "INVITE"][-1].call_id
+            peer.write(peer.request(arguments[0], arguments[1], fields, body.encode()).encode())
         elif verb == "close":
-            peer.close("reset" in given)
-        elif given == ["nothing"]:
+            peer.close("reset" in arguments)
+        elif arguments == ["nothing"]:
             self.settle()
             assert not peer.inbox, f"unexpected {peer.inbox[0].method or peer.inbox[0].status}"
         else:
-            self._expect(peer, given, named)
+            self._expect(peer, arguments, fields)
 
-    def _expect(self, peer: Peer, given: list[str], named: dict[str, str]) -> None:
-        late = time.monotonic() + PATIENCE_S
+    def _expect(self, peer: Peer, arguments: list[str], fields: dict[str, str]) -> None:
+        deadline = time.monotonic() + MESSAGE_TIMEOUT_S
         while not peer.inbox:
-            assert time.monotonic() < late, "nothing came"
+            assert time.monotonic() < deadline, "nothing was received"
             self._turn()
         message = peer.inbox.pop(0)
         what = message.method or str(message.status)
-        assert what == given[0], f"{what} {message.reason} came"
-        if len(given) > 1:
-            assert message.call_id == peer.named(given[1]), f"it is of {message.call_id}"
-        for key, value in named.items():
+        assert what == arguments[0], f"{what} {message.reason} was received"
+        if len(arguments) > 1:
+            assert message.call_id == peer.wire_name(arguments[1]), f"the Call-ID is {message.call_id}"
+        for key, value in fields.items():
             found = message.body.decode().rstrip("\r\n") if key == "body" else message.get(key)
             assert found == value or (value == "*" and found), f"{key} is {found!r}"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door, and the drain that it begins and undoes."""
+"""The admin server, and the drain that it begins and undoes."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from reedmount.node import SERVER_SOCKETS, room_for_callers
 from tests.scenario import HOST
 from tests.test_config import platform
-from tests.test_platform import SETUP, STANDS, Platform
+from tests.test_platform import ESTABLISH, SETUP, Platform
 
 HEALTH = b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Building(Platform):
-    """The platform's front with a door."""
+class AdminStage(Platform):
+    """The platform's front with an admin server."""
 
     def __init__(self) -> None:
         super().__init__("server")
@@ -31,14 +31,14 @@
             self.loop, (HOST, 0), self.switch.lifecycle, lambda: self.switch.call_counts
         )
 
-    def visit(self, data: bytes = b"") -> socket.socket:
+    def connect(self, data: bytes = b"") -> socket.socket:
         sock = socket.create_connection(self.admin_server.address)
         sock.sendall(data)
         self.settle()
         return sock
 
-    def call(self, data: bytes) -> tuple[int, bytes]:
-        with self.visit(data) as sock:
+    def request(self, data: bytes) -> tuple[int, bytes]:
+        with self.connect(data) as sock:
             sock.settimeout(5)
             answer = b""
             while part := sock.recv(4096):
@@ -48,19 +48,21 @@
         return int(answer.split(b" ")[1]), answer
 
     def post(self, what: str) -> int:
-        return self.call(f"POST /admin/{what} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())[0]
+        return self.request(f"POST /admin/{what} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())[
+            0
+        ]
 
 
 @pytest.fixture
-def stage() -> Iterator[Building]:
-    made = Building()
+def stage() -> Iterator[AdminStage]:
+    made = AdminStage()
     yield made
     made.loop.close()
 
 
-def test_health_tells_the_state_and_what_is_here(stage: Building) -> None:
-    stage.play(STANDS)
-    status, answer = stage.call(HEALTH)
+def test_health_reports_the_state_and_the_number_of_calls(stage: AdminStage) -> None:
+    stage.play(ESTABLISH)
+    status, answer = stage.request(HEALTH)
     assert status == 200
     assert json.loads(answer.partition(b"\r\n\r\n")[2]) == {"state": "ready", "open": 0, "standing": 1}
 
@@ -77,25 +79,25 @@
         (b"POST /admin/quiesce HTTP/1.1\r\nHost: x\r\nContent-Length: -1\r\n\r\n", 400, b""),
     ],
 )
-def test_what_is_no_call_is_answered_as_in_http(
-    stage: Building, data: bytes, status: int, header: bytes
+def test_invalid_requests_get_the_http_status_for_their_error(
+    stage: AdminStage, data: bytes, status: int, header: bytes
 ) -> None:
-    got, answer = stage.call(data)
+    got, answer = stage.request(data)
     assert got == status and header in answer
     assert stage.switch.lifecycle.ready
 
 
-def test_quiesce_and_resume_may_be_said_twice(stage: Building) -> None:
-    assert [stage.post("quiesce"), stage.post("quiesce"), stage.call(HEALTH)[0]] == [200, 200, 503]
-    assert [stage.post("resume"), stage.post("resume"), stage.call(HEALTH)[0]] == [200, 200, 200]
+def test_quiesce_and_resume_may_be_repeated(stage: AdminStage) -> None:
+    assert [stage.post("quiesce"), stage.post("quiesce"), stage.request(HEALTH)[0]] == [200, 200, 503]
+    assert [stage.post("resume"), stage.post("resume"), stage.request(HEALTH)[0]] == [200, 200, 200]
     stage.switch.lifecycle.end()
-    assert [stage.post("resume"), stage.call(HEALTH)[0]] == [409, 503]
+    assert [stage.post("resume"), stage.request(HEALTH)[0]] == [409, 503]
 
 
-def test_silent_callers_crowd_out_nobody(stage: Building) -> None:
-    """Some connect and say nothing for seconds, some amid a call: whoever has one to make is still heard."""
-    silent = [stage.visit(b"GET /adm" if n % 2 else b"") for n in range(3 * MAX_ADMIN_CONNECTIONS)]
-    assert stage.call(HEALTH)[0] == 200
+def test_silent_connections_do_not_keep_others_from_being_served(stage: AdminStage) -> None:
+    """Some clients send nothing for seconds, some stop in a request: other requests are still answered."""
+    silent = [stage.connect(b"GET /adm" if n % 2 else b"") for n in range(3 * MAX_ADMIN_CONNECTIONS)]
+    assert stage.request(HEALTH)[0] == 200
     assert len(stage.admin_server._connections) <= MAX_ADMIN_CONNECTIONS
     stage.wait(timedelta(seconds=6))
     assert not stage.admin_server._connections
@@ -103,8 +105,8 @@
         sock.close()
 
 
-def test_a_caller_at_the_door_is_served_before_all_others(stage: Building) -> None:
-    """At full load its turn came after all that had been ready before it."""
+def test_the_admin_server_is_served_before_other_ready_connections(stage: AdminStage) -> None:
+    """At full load its answers came after everything that was ready before."""
     order: list[str] = []
     pairs = [socket.socketpair() for _ in range(100)]
 
@@ -122,18 +124,18 @@
         stage.loop.turn(timedelta(0))
         try:
             if caller.recv(16):
-                order.append("door")
+                order.append("admin")
         except BlockingIOError:
             pass
-    assert "door" in order and stage.loop.watched_count > 100
-    assert order.index("door") <= 100, "answered in the turn after its connection came"
+    assert "admin" in order and stage.loop.watched_count > 100
+    assert order.index("admin") <= 100, "answered in the turn after its connection was accepted"
     for sock in (caller, *(sock for pair in pairs for sock in pair)):
         sock.close()
 
 
-def test_a_drain_closes_what_is_idle_and_answers_what_was_taken(stage: Building) -> None:
-    """A kept connection is used as long as it is open: nobody else ends it."""
-    stage.play(STANDS + "other send OPTIONS t\n other expect 200 t")
+def test_a_drain_closes_idle_connections_and_answers_open_set_ups(stage: AdminStage) -> None:
+    """Clients keep using a connection for as long as it is open: the drain has to close it."""
+    stage.play(ESTABLISH + "other send OPTIONS t\n other expect 200 t")
     stage.peer("late", "thin", stage.callers.address)
     stage.play("late send INVITE c2 x-cos=small x-timer-ms=9000\n server expect INVITE c2")
     assert stage.post("quiesce") == 200
@@ -169,29 +171,29 @@
     stage.play("caller send OPTIONS t\n caller expect 200 t\n wait 2000\n caller expect nothing")
 
 
-def test_no_connection_is_kept_by_ever_more_set_ups(stage: Building) -> None:
-    """In time for the end of the drain the module ends what comes too late, and the connection goes."""
+def test_a_drain_closes_a_connection_with_a_stream_of_set_ups(stage: AdminStage) -> None:
+    """Late in the drain set-ups are answered in time for its end, and the connection is closed."""
     stage.post("quiesce")
     for number in range(12):
         stage.play(f"caller send INVITE d{number} x-cos=small x-timer-ms=9000\n wait 350")
         if any(message.method == "CLOSED" for message in stage.peers["caller"].inbox):
             break
     else:
-        raise AssertionError("still open")
+        raise AssertionError("the connection is still open")
     assert 9 <= number <= 11
     assert stage.switch.unanswered == 0
 
 
-def test_resume_undoes_a_drain_before_anything_is_closed(stage: Building) -> None:
-    stage.play(STANDS)
+def test_resume_undoes_a_drain_before_connections_are_closed(stage: AdminStage) -> None:
+    stage.play(ESTABLISH)
     stage.post("quiesce")
     stage.play("wait 300\n caller expect nothing")
     stage.post("resume")
     stage.play("wait 2000\n caller expect nothing")
 
 
-def test_a_set_up_that_lies_unread_keeps_its_connection(stage: Building) -> None:
-    """It was on its way as the connection was closed: reset, and the request was lost."""
+def test_a_drain_does_not_close_a_connection_with_unread_data(stage: AdminStage) -> None:
+    """The close became a reset, and the unread set-up was lost."""
     stage.play("caller send OPTIONS t\n caller expect 200 t")
     client = next(iter(stage.callers._clients))
     stage.wait(timedelta(seconds=1))
@@ -202,26 +204,26 @@
     assert not client.is_drainable(now, Shutdown(now - timedelta(seconds=3)))
 
 
-def test_the_door_s_descriptors_are_set_aside(tmp_path: Path) -> None:
-    """With the limit cut by half, callers and connections to servers took all there were."""
+def test_descriptors_are_reserved_for_the_admin_server(tmp_path: Path) -> None:
+    """With half the limit, clients and connections to servers took all descriptors."""
     for sockets in (64, 128, 192, 1024):
         limits = {"sockets": sockets}
         without = room_for_callers(platform(tmp_path, limits=limits))
-        withal = room_for_callers(platform(tmp_path, limits=limits, control=f"{HOST}:9800"))
-        assert without - withal == ADMIN_SOCKETS and withal >= sockets // 4
+        with_admin = room_for_callers(platform(tmp_path, limits=limits, control=f"{HOST}:9800"))
+        assert without - with_admin == ADMIN_SOCKETS and with_admin >= sockets // 4
         assert without + min(SERVER_SOCKETS, sockets // 4) < sockets
 
 
-def test_the_lifecycle_starts_when_all_is_there_and_its_end_cannot_be_undone(stage: Building) -> None:
-    life, phases = Lifecycle(stage.loop.clock), []
-    life.on_change(lambda: phases.append(life.phase))
-    assert life.phase is Phase.STARTING
-    life.satisfy(Need.LISTENING)
-    assert not life.ready
-    life.satisfy(Need.SERVERS)
-    life.quiesce()
-    life.quiesce()
-    assert life.resume() and life.ready
-    life.end()
-    assert not life.resume()
+def test_the_lifecycle_is_ready_once_all_needs_are_met_and_a_shutdown_is_final(stage: AdminStage) -> None:
+    lifecycle, phases = Lifecycle(stage.loop.clock), []
+    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
+    assert lifecycle.phase is Phase.STARTING
+    lifecycle.satisfy(Need.LISTENING)
+    assert not lifecycle.ready
+    lifecycle.satisfy(Need.SERVERS)
+    lifecycle.quiesce()
+    lifecycle.quiesce()
+    assert lifecycle.resume() and lifecycle.ready
+    lifecycle.end()
+    assert not lifecycle.resume()
     assert phases == [Phase.READY, Phase.DRAINING, Phase.READY, Phase.ENDING]
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -1,4 +1,4 @@
-"""The notice board: what its events say, gaps, losses and silence, against a small one of our own."""
+"""The notice board client against a board of the test: events, gaps, lost connections and time-outs."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 
 class Recorder:
-    """Stands in for the core: keeps the news of the pool."""
+    """Replaces the core: records the updates of the pool."""
 
     def __init__(self) -> None:
-        self.news: list[tuple[int, i.ListKind, dict[str, str]]] = []
+        self.updates: list[tuple[int, i.ListKind, dict[str, str]]] = []
 
     def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
         states = {
             entry.server: "up" if entry.serving else "gone" if entry.removed else "drain" for entry in entries
         }
-        self.news.append((version, kind, states))
+        self.updates.append((version, kind, states))
 
 
 class BoardStage(Stage):
-    """A board written here, and the actor that polls it."""
+    """A notice board of the test, and the client that polls it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +52,7 @@
         first = {"rev": 1, "notices": [notice(1, host("a"), host("b"), whole=True)]}
         self.pool.start(*read_notices(first))
         self.server: Peer = self.peer("board", "tcp")
-        self.asked: list[str] = []
+        self.polls: list[str] = []
         self.server.pump = self._pump  # type: ignore[method-assign]
         assert self.server.listener is not None
         self.server.listener.setblocking(False)
@@ -71,7 +71,7 @@
             data = self.server.sock.recv(65536) if self.server.sock else b""
         except BlockingIOError:
             return False
-        self.asked += [line.split()[1] for line in data.decode().split("\r\n") if line.startswith("GET ")]
+        self.polls += [line.split()[1] for line in data.decode().split("\r\n") if line.startswith("GET ")]
         return bool(data)
 
     def answer(self, rev: int, *notices: dict[str, Any]) -> None:
@@ -80,40 +80,40 @@
         self.settle()
 
 
-def test_events_are_followed_and_each_counts_once() -> None:
+def test_each_event_is_applied_once() -> None:
     stage = BoardStage()
-    assert stage.asked == ["/board/poll?watch=1&linger=1000"]
+    assert stage.polls == ["/board/poll?watch=1&linger=1000"]
     stage.answer(2, notice(1, host("a")), notice(2, host("a", "DRAINING")))
-    assert stage.core.news[1:] == [(2, i.ListKind.CHANGES, {"a": "drain"})]
-    assert stage.asked[-1] == "/board/poll?watch=2&linger=1000"
+    assert stage.core.updates[1:] == [(2, i.ListKind.CHANGES, {"a": "drain"})]
+    assert stage.polls[-1] == "/board/poll?watch=2&linger=1000"
     stage.answer(3, notice(3, host("a", "DELETED"), host("c", born=5)))
-    assert stage.core.news[-1][2] == {"a": "gone", "c": "up"}
+    assert stage.core.updates[-1][2] == {"a": "gone", "c": "up"}
 
 
-def test_after_a_gap_all_events_are_asked_for_and_what_they_lack_is_gone() -> None:
+def test_after_a_gap_all_events_are_requested_and_servers_not_named_are_removed() -> None:
     stage = BoardStage()
     stage.answer(5, notice(5, host("c")))
-    assert stage.asked[-1] == "/board/poll?watch=0&linger=0"
+    assert stage.polls[-1] == "/board/poll?watch=0&linger=0"
     stage.answer(5, notice(1, host("a"), host("b"), whole=True), notice(3, host("b", "DELETED")),
                  notice(5, host("c")))  # fmt: skip
-    assert stage.core.news[-1] == (5, i.ListKind.CHANGES, {"b": "gone", "a": "up", "c": "up"})
+    assert stage.core.updates[-1] == (5, i.ListKind.CHANGES, {"b": "gone", "a": "up", "c": "up"})
 
 
-def test_a_board_that_began_anew_is_asked_for_everything() -> None:
+def test_all_events_are_requested_from_a_board_that_restarted() -> None:
     stage = BoardStage()
     stage.answer(0)
-    assert stage.asked[-1] == "/board/poll?watch=0&linger=0"
+    assert stage.polls[-1] == "/board/poll?watch=0&linger=0"
 
 
-def test_a_lost_board_is_dialled_again() -> None:
+def test_a_lost_connection_is_dialled_again() -> None:
     stage = BoardStage()
     stage.server.close(reset=True)
     stage.wait(timedelta(milliseconds=150))
-    assert stage.asked[-1] == "/board/poll?watch=1&linger=1000" and len(stage.asked) == 2
+    assert stage.polls[-1] == "/board/poll?watch=1&linger=1000" and len(stage.polls) == 2
 
 
-def test_a_board_that_moves_is_asked_at_its_new_address_for_what_is_due() -> None:
-    """The old address says nothing more: the poll that was open there would hide a drain for seconds."""
+def test_a_board_that_moves_is_polled_at_its_new_address_from_the_same_event() -> None:
+    """The old address may not answer any more: the poll open there would delay a drain by seconds."""
     stage = BoardStage()
     stage.answer(2, notice(2, host("b", "DRAINING")))
     assert stage.server.listener is not None
@@ -122,28 +122,28 @@
     stage.server.listener.setblocking(False)
     stage.board.move(stage.server.listener.getsockname())
     stage.settle()
-    assert stage.asked[-1] == "/board/poll?watch=2&linger=1000"
+    assert stage.polls[-1] == "/board/poll?watch=2&linger=1000"
     stage.answer(3, notice(3, host("a", "DRAINING")))
-    assert stage.core.news[-1][2] == {"a": "drain"}
+    assert stage.core.updates[-1][2] == {"a": "drain"}
 
 
 def test_a_silent_board_is_dialled_again() -> None:
-    """Its connection stays open when the machine is cut off: drains would go unheard for ever."""
+    """Its connection stays open when the machine is unreachable: drains would never be noticed."""
     stage = BoardStage()
     stage.wait(timedelta(milliseconds=1300))
-    assert len(stage.asked) == 1
+    assert len(stage.polls) == 1
     stage.wait(timedelta(milliseconds=200))
-    assert len(stage.asked) == 2
+    assert len(stage.polls) == 2
     stage.answer(2, notice(2, host("a", "DRAINING")))
-    assert stage.core.news[-1][2] == {"a": "drain"}
+    assert stage.core.updates[-1][2] == {"a": "drain"}
 
 
-def test_a_board_is_asked_again_once_there_is_a_descriptor_for_it() -> None:
-    """Idle clients had taken the last one while discovery was down: nobody asked again, for good."""
+def test_a_board_is_polled_again_once_a_descriptor_is_free() -> None:
+    """Idle clients had taken the last descriptor while the board was down: it was never polled again."""
     stage = BoardStage()
     stage.server.close(reset=True)
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (3, before[1]))  # no new descriptor; those there go on
+    resource.setrlimit(resource.RLIMIT_NOFILE, (3, before[1]))  # no new descriptor; open ones stay usable
     refused = COUNTERS["board.no_socket"]
     try:
         for _ in range(300):
@@ -153,13 +153,13 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
     assert 1 <= COUNTERS["board.no_socket"] - refused <= 4, "tried again, and not in every turn"
     stage.wait(timedelta(milliseconds=150))
-    assert len(stage.asked) == 2
+    assert len(stage.polls) == 2
     stage.answer(2, notice(2, host("a", "DRAINING")))
-    assert stage.core.news[-1][2] == {"a": "drain"}
+    assert stage.core.updates[-1][2] == {"a": "drain"}
 
 
-def test_a_list_that_comes_in_pieces_is_taken_and_one_without_an_end_is_not() -> None:
-    """A whole list that took longer than the poll and 0.4 s was given up each time, for good."""
+def test_an_answer_may_arrive_in_pieces_but_not_without_end() -> None:
+    """A complete list that took longer than the poll and 0.4 s was aborted every time."""
     stage = BoardStage()
     body = json.dumps({"rev": 2, "notices": [notice(2, host("a", "DRAINING"))]}).encode()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -167,55 +167,55 @@
     for piece in (answer[:9], answer[9:60], answer[60:90], answer[90:]):
         stage.server.write(piece)
         stage.wait(timedelta(milliseconds=300))
-    assert stage.core.news[-1][2] == {"a": "drain"} and len(stage.asked) == 2
-    for asked, bytes_sent in ((2, 20), (3, 5)):
+    assert stage.core.updates[-1][2] == {"a": "drain"} and len(stage.polls) == 2
+    for polls, bytes_sent in ((2, 20), (3, 5)):
         for byte in answer[:bytes_sent]:
             stage.server.write(bytes([byte]))
             stage.wait(timedelta(milliseconds=200))
-        assert len(stage.asked) == asked
+        assert len(stage.polls) == polls
 
 
-def test_a_board_that_is_slow_is_waited_for_longer_each_time() -> None:
-    """One that answered half a second late was taken for a silent one each time, and drains went unheard."""
+def test_the_timeout_for_a_slow_board_grows() -> None:
+    """A board that answered half a second late timed out every time, and drains were never noticed."""
     stage = BoardStage()
     stage.wait(timedelta(milliseconds=1450))
-    assert len(stage.asked) == 2
+    assert len(stage.polls) == 2
     stage.wait(timedelta(milliseconds=1600))
-    assert len(stage.asked) == 2
+    assert len(stage.polls) == 2
     stage.answer(2, notice(2, host("a", "DRAINING")))
-    assert stage.core.news[-1][2] == {"a": "drain"}
+    assert stage.core.updates[-1][2] == {"a": "drain"}
     stage.wait(timedelta(milliseconds=1450))
-    assert len(stage.asked) == 4, "it answers again, so its next silence is noticed as soon as the first"
+    assert len(stage.polls) == 4, "after an answer the time-out is the initial one again"
 
 
-def test_an_answer_that_cannot_be_read_changes_nothing() -> None:
+def test_a_malformed_answer_changes_nothing() -> None:
     stage = BoardStage()
     stage.answer(2, notice(2, host("a", "ASLEEP")))
-    assert len(stage.core.news) == 1
+    assert len(stage.core.updates) == 1
     stage.wait(timedelta(milliseconds=150))
-    assert len(stage.asked) == 2
+    assert len(stage.polls) == 2
 
 
 @pytest.mark.parametrize(
     "raw", [None, {}, {"rev": 1}, {"rev": "x", "notices": []}, {"rev": 1, "notices": [{"pool": {}}]}]
 )
-def test_malformed_news_is_refused(raw: object) -> None:
+def test_malformed_events_are_rejected(raw: object) -> None:
     with pytest.raises(BoardError):
         read_notices(raw)
 
 
-def test_known_events_reach_the_module_as_its_saved_list() -> None:
+def test_the_events_in_the_configuration_become_the_saved_list() -> None:
     stage = Stage()
     switch = Switch(stage.loop, SETTINGS, 1)
-    told: list[ListedServer] = []
+    received: list[ListedServer] = []
 
-    class Side:
-        servers_changed = staticmethod(told.extend)
+    class Servers:
+        servers_changed = staticmethod(received.extend)
 
-    switch.attach(Side())  # type: ignore[arg-type]
+    switch.attach(Servers())  # type: ignore[arg-type]
     known = {"rev": 1, "notices": [notice(1, host("a", born=1500), whole=True)]}
     BoardList(switch).start(*read_notices(known))
-    assert [(entry.server, entry.address, entry.number, entry.serving) for entry in told] == [
+    assert [(entry.server, entry.address, entry.number, entry.serving) for entry in received] == [
         ("a", ("127.0.0.1", 9), 2, True)
     ]
-    assert told[0].started is not None and told[0].started.timestamp() == 1.5
+    assert received[0].started is not None and received[0].started.timestamp() == 1.5
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""What crosses what: closes, cancels, signals and reloads while something else is on its way.
+"""Races: closes, cancels, signals and reloads that cross messages in transit.
 
-Each crossing is forced: the bytes lie in the sockets, or a descriptor is missing, before the loop's turn.
+Each race is forced: the bytes are in the sockets, or a descriptor is missing, before the loop's turn.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 from reedmount.net.connection import Connection, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.message import response
-from tests.scenario import HOST, VirtualTime, crowded, digits
+from tests.scenario import HOST, VirtualTime, digits, full_backlog
 from tests.test_board import notice
 from tests.test_config import ROOT, platform
-from tests.test_platform import ANOTHER, SETUP, STANDS, Platform
+from tests.test_platform import ESTABLISH, ESTABLISH_OTHER, SETUP, Platform
 from tests.test_start import line, started
 
 PLAIN = (b"INVITE sip:00000000000000a7@net SIP/2.0\r\nCall-ID: 00000000000000b1\r\nCSeq: 1 INVITE\r\n"
          b"X-Cos: plain\r\nX-Timer-Ms: 1000\r\nContent-Length: 0\r\n\r\n")  # fmt: skip
 
 
-# --- the client leaves ---
+# --- the client disconnects or cancels ---
 
 
-def test_a_set_up_whose_client_closed_before_it_was_read_is_not_sent_on() -> None:
-    """Both lay in the socket: the set-up was read first and sent, the close came to light a turn later."""
+def test_a_set_up_whose_client_closed_before_it_was_read_is_not_sent_to_a_server() -> None:
+    """Both were in the socket: the set-up was read and sent, and the close was noticed one turn later."""
     stage = Platform("server")
     caller = stage.peers["caller"]
     caller.write(caller.request("INVITE", "c1", {"x-cos": "small", "x-timer-ms": "2000"}, b"").encode())
@@ -47,33 +47,33 @@
 
 
 @pytest.mark.parametrize("leaves", ["caller close", "caller close reset", "caller send CANCEL c1"])
-def test_a_call_that_waits_for_a_connection_is_not_sent_once_its_client_has_gone(leaves: str) -> None:
-    """The connection comes up late: what was queued for it is taken back, whichever way the client left."""
+def test_a_set_up_queued_for_a_connection_is_not_sent_once_its_client_has_left(leaves: str) -> None:
+    """The connection is established late: the queued set-up is withdrawn, however the client left."""
     stage = Platform("server")
     stage.play("server close reset")
-    stage.peers["server"].stop()  # its backlog takes nobody: connections come up once this is over
-    with crowded() as (full, _):
-        stage.tell("server", port=full.getsockname()[1])
+    stage.peers["server"].stop()  # connections are established only once the backlog below has room
+    with full_backlog() as (full, _):
+        stage.set_servers("server", port=full.getsockname()[1])
         stage.play(f"wait 20\n caller send {SETUP}\n wait 100")
         assert stage.switch.unanswered == 1
         stage.play(leaves + "\n wait 5")
         assert stage.switch.is_idle
-        heard = []
+        received = []
         for _ in range(20):
             stage.wait(timedelta(milliseconds=50))
             full.settimeout(0)
             try:
                 sock, _ = full.accept()
                 sock.settimeout(0.01)
-                heard.append(sock.recv(4096))
+                received.append(sock.recv(4096))
             except (BlockingIOError, TimeoutError):
                 continue
-        assert b"INVITE" not in b"".join(heard)
+        assert b"INVITE" not in b"".join(received)
 
 
 @pytest.mark.parametrize("leaves", ["caller close", "caller close reset", "caller send CANCEL c1"])
-def test_a_further_attempt_does_not_begin_after_its_client_has_gone(leaves: str) -> None:
-    """It waits for the pause after the first one when the client leaves."""
+def test_no_further_attempt_begins_after_the_client_has_left(leaves: str) -> None:
+    """The next attempt waits for the pause after the first one when the client leaves."""
     stage = Platform("server", "second")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n server send 504 INVITE")
     stage.play(f"server expect ACK c1\n wait 150\n {leaves}\n wait 400")
@@ -84,13 +84,13 @@
 def test_an_answer_that_crosses_the_client_s_close_is_released_at_its_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nobody had the call, and it kept its line until its server ended it."""
+    """The call occupied a line without a caller until its server ended it."""
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1")
     client, original = next(iter(stage.callers._clients)), stage.switch.established
 
     def close_first(name: str, attempt: int, description: bytes) -> bool:
-        client.connection.close(EndReason.RESET)  # seen between the answer's coming and its passing on
+        client.connection.close(EndReason.RESET)  # noticed after the answer is read and before it is sent on
         return original(name, attempt, description)
 
     monkeypatch.setattr(stage.switch, "established", close_first)
@@ -99,7 +99,7 @@
 
 
 def test_a_call_whose_cancel_crossed_its_answer_is_released_towards_both_sides() -> None:
-    """Its server was told and its caller was not, who had the answer whether it took it or not."""
+    """Only the server got a release, although the caller had received the answer."""
     stage = Platform("server")
     stage.play(f"""
         caller send {SETUP}
@@ -116,8 +116,8 @@
     assert stage.switch.is_idle and stage.callers.is_idle
 
 
-def test_a_set_up_that_lies_unread_keeps_its_connection_from_being_closed_as_idle() -> None:
-    """It had come whole: the close was a reset, and the request was lost with no word."""
+def test_a_connection_with_unread_data_is_not_closed_as_idle() -> None:
+    """The close became a reset, and a complete set-up was lost without an answer."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n caller expect 200 t")
     client = next(iter(stage.callers._clients))
@@ -129,16 +129,18 @@
     assert not client.is_expired(now)
 
 
-# --- call servers close, come up late, hang ---
+# --- call servers close connections, accept late, or hang ---
 
 
-def test_a_connection_near_its_server_s_idle_close_is_used_no_more() -> None:
-    """The close crossed the next set-up: it was reset, and the call waited 200 ms or failed for good."""
+def test_a_connection_near_its_server_s_idle_close_is_not_used() -> None:
+    """The close crossed the next set-up: it was reset, and the call waited 200 ms or failed."""
     stage = Platform("server")
     stage.limits.idle_wait = timedelta(seconds=2)
-    stage.play(STANDS + "wait 1400\n" + ANOTHER)
+    stage.play(ESTABLISH + "wait 1400\n" + ESTABLISH_OTHER)
     server = stage.peers["server"]
-    first, second = (server.came[id(heard)] for heard in server.heard if heard.method == "INVITE")
+    first, second = (
+        server.received_on[id(message)] for message in server.requests if message.method == "INVITE"
+    )
     assert first is second, "well before that it is used"
     stage.play("""
         wait 1600
@@ -148,22 +150,22 @@
         server expect ACK u
         other expect 200 u
     """)
-    assert server.came[id(server.heard[-2])] is not second
+    assert server.received_on[id(server.requests[-2])] is not second
     stage.play("wait 1600\n server expect nothing\n caller send BYE c1\n caller expect 200 c1")
     stage.play("server expect BYE c1")
 
 
-def test_a_release_does_not_go_where_its_server_may_have_closed() -> None:
-    """Written to a connection that the call server was closing, it was lost: the call stood on there."""
+def test_a_release_is_not_sent_on_a_connection_that_its_server_may_be_closing() -> None:
+    """It was lost on a connection that the call server was closing: the call stayed established there."""
     stage = Platform("server")
     stage.limits.idle_wait = timedelta(seconds=2)
-    stage.play(STANDS + "wait 1600\n caller send BYE c1\n caller expect 200 c1\n server expect BYE c1")
+    stage.play(ESTABLISH + "wait 1600\n caller send BYE c1\n caller expect 200 c1\n server expect BYE c1")
     server = stage.peers["server"]
-    assert server.came[id(server.heard[-1])] is not server.came[id(server.heard[0])]
+    assert server.received_on[id(server.requests[-1])] is not server.received_on[id(server.requests[0])]
 
 
 def test_several_connections_closed_as_idle_are_not_all_opened_again() -> None:
-    """Each was dialled anew: a fleet's quiet hours cost a connection a server, instance and idle time."""
+    """Each was dialled again: an idle fleet opened a connection per server, instance and idle time."""
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n other send {SETUP.replace('c1', 'c2')}")
     stage.play("server expect INVITE c2\n server send 503 INVITE c1\n server send 503 INVITE c2\n wait 200")
@@ -172,20 +174,20 @@
     assert COUNTERS["server.connects"] - before == 1
 
 
-def test_connections_to_servers_have_a_bound_in_all_and_each_server_has_one() -> None:
+def test_connections_to_servers_are_limited_in_total_but_each_server_has_one() -> None:
     stage = Platform("server")
     stage.limits.max_connections = 2
     for name in ("c1", "c2", "c3", "c4"):
-        stage.side.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
+        stage.call_servers.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
         stage.play(f"server expect INVITE {name}")
-    assert stage.side._peers["server"].connections == 2
+    assert stage.call_servers._peers["server"].connections == 2
     stage.peer("second", "thin")
-    stage.tell("server", "second")
-    assert stage.side._peers["second"].connections == 1
+    stage.set_servers("server", "second")
+    assert stage.call_servers._peers["second"].connections == 1
 
 
-def test_callers_make_room_for_what_else_needs_descriptors() -> None:
-    """Connections to servers that broke, and idle callers up to their own bound, left none for the board."""
+def test_idle_clients_are_evicted_when_descriptors_are_needed() -> None:
+    """Broken connections to servers, and idle clients up to their own limit, left none for the board."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n caller expect 200 t\n other send OPTIONS t\n other expect 200 t")
     crowd = [stage.peer(f"p{n}", "thin", stage.callers.address) for n in range(9)]
@@ -193,9 +195,9 @@
         peer.write(peer.request("OPTIONS", "t", {}, b"").encode())
     stage.settle()
     assert len(stage.callers._clients) == 11
-    stage.callers.descriptors = stage.loop.watched_count + 14  # what it does not hear of, and a few to spare
+    stage.callers.descriptors = stage.loop.watched_count + 14  # unwatched and spare ones
     stage.peer("second", "thin")
-    stage.tell("server", "second")  # one more connection
+    stage.set_servers("server", "second")  # one more connection
     late = stage.peer("late", "thin", stage.callers.address)
     late.write(late.request("OPTIONS", "t", {}, b"").encode())
     stage.settle()
@@ -204,8 +206,7 @@
 
 @pytest.mark.parametrize("given_up", [False, True])
 def test_a_release_that_overtakes_its_answer_ends_the_call(given_up: bool) -> None:
-    """It was passed over, and the call answered later, by this server or another: it was over, and its caller
-    never heard."""
+    """It was ignored, and the call answered later by this server or another: its caller got no release."""
     stage = Platform("server", "second")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1")
     if given_up:
@@ -222,11 +223,11 @@
     assert stage.switch.is_idle
 
 
-def test_a_release_by_a_server_where_it_was_given_up_ends_the_call_at_the_other_too() -> None:
-    """The caller was told, and the server that had the call kept its line until the end."""
+def test_a_release_by_a_server_without_the_call_ends_it_at_its_server_too() -> None:
+    """The caller got a release, but the server of the call kept its line until the call's end."""
     stage = Platform("server", "second")
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         second send BYE c1 reason=Q.850;cause=41
         second expect 200 c1
@@ -238,7 +239,7 @@
 
 
 def test_an_attempt_answered_after_it_was_given_up_is_released_once_the_call_is_over() -> None:
-    """A release names the call: sent at once, it cut the one that stood elsewhere, and nobody was told."""
+    """A release names only the call: sent at once, it ended the call established elsewhere without notice."""
     stage = Platform("server", "second")
     stage.play(f"""
         caller send {SETUP}
@@ -255,7 +256,7 @@
         wait 20
     """)
     server = stage.peers["server"]
-    server.write(response(server.heard[0], 200, body=b"late\r\n").encode())
+    server.write(response(server.requests[0], 200, body=b"late\r\n").encode())
     stage.play("""
         server expect ACK c1
         wait 1200
@@ -269,8 +270,8 @@
     assert stage.switch.is_idle
 
 
-def test_a_release_lost_with_its_connection_comes_again_though_the_next_one_never_does() -> None:
-    """Others were up, so that nobody dialled again: the call was over, and its caller never heard."""
+def test_a_connection_is_dialled_again_for_a_lost_release_though_the_first_retry_fails() -> None:
+    """Others were open, so there was no further retry: the server's release never reached the caller."""
     stage = Platform("server")
     stage.play(f"""
         caller send {SETUP}
@@ -286,13 +287,13 @@
         wait 150
     """)
     server = stage.peers["server"]
-    with crowded() as (full, filling):
-        stage.tell("server", port=full.getsockname()[1])
-        broken = server.came[id(server.heard[0])]
+    with full_backlog() as (full, filling):
+        stage.set_servers("server", port=full.getsockname()[1])
+        broken = server.received_on[id(server.requests[0])]
         broken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         server.drop(broken)
-        stage.play("wait 600")  # the next one has not come up by then
-        stage.tell("server", port=server.port)
+        stage.play("wait 600")  # the next connection is not established by then
+        stage.set_servers("server", port=server.port)
         for sock in filling:
             sock.close()
     before = set(server.rings)
@@ -302,11 +303,11 @@
     stage.play("server send BYE c1 reason=Q.850;cause=16\n server expect 200 c1\n caller expect BYE c1")
 
 
-# --- the end ---
+# --- shutdown ---
 
 
-def test_at_the_end_whoever_still_waits_is_answered() -> None:
-    """A call with nine seconds to go when the end began found its process killed, and heard nothing."""
+def test_during_shutdown_all_open_set_ups_are_answered() -> None:
+    """The process was killed before the answer to a set-up that still had nine seconds."""
     stage = Platform("server")
     stage.play("""
         caller send INVITE c1 x-cos=small x-timer-ms=9000
@@ -321,8 +322,8 @@
     assert stage.switch.is_idle
 
 
-def test_a_request_of_which_half_has_come_at_sigterm_is_answered(tmp_path: Path) -> None:
-    """The process ended 1.5 s after the signal, amid a request that came in pieces."""
+def test_a_request_that_is_half_received_at_sigterm_is_answered(tmp_path: Path) -> None:
+    """The process exited 1.5 s after the signal, while a request was arriving in pieces."""
     platform(tmp_path, known={"rev": 1, "notices": [notice(1, whole=True)]})
     with started(GW_CONFIG=str(tmp_path / "config.json"), GW_LISTEN=f"{HOST}:0") as process:
         port = int(line(process).rpartition(":")[2])
@@ -331,7 +332,7 @@
             process.send_signal(signal.SIGTERM)
             assert line(process).startswith("stopping")
             caller.settimeout(0.3)
-            for byte in PLAIN[20:27]:  # past the time in which requests still come
+            for byte in PLAIN[20:27]:  # beyond the time in which new requests are expected
                 with pytest.raises(TimeoutError):
                     caller.recv(1)
                 caller.sendall(bytes([byte]))
@@ -341,8 +342,8 @@
         assert process.wait(20) == 0
 
 
-def test_an_answer_that_the_system_does_not_take_yet_is_waited_for_at_the_end() -> None:
-    """A client that reads late found its answers cut off by the end of the process."""
+def test_shutdown_waits_for_answers_not_yet_written_to_the_socket() -> None:
+    """The exit of the process truncated the answers of a client that reads late."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n caller expect 200 t")
     client = next(iter(stage.callers._clients))
@@ -352,15 +353,15 @@
         client.connection.send(b"x" * 65536)
     assert not stage.callers.is_idle
     stage.time.seconds += 4
-    assert stage.callers.is_idle, "no longer than there is time"
+    assert stage.callers.is_idle, "the wait is limited"
 
 
-def test_sighup_before_the_program_can_read_it_ends_nothing(tmp_path: Path) -> None:
-    """It fell into the first tenth of a second, in which there is no handler, and ended the process."""
+def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """It arrived in the first tenth of a second, before the handler was set, and ended the process."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     platform(tmp_path, known={"rev": 1, "notices": [notice(1, whole=True)]})
     env = {"GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"{HOST}:0", "PATH": "/usr/bin:/bin"}
-    # The shell itself is ready when it reads what follows; the program is not, for a while.
+    # The shell is ready once it reads its input; the program takes a while longer.
     shell = subprocess.Popen(
         ["/bin/sh", "-c", f"read go; {run}"], cwd=ROOT, env=env, stdin=subprocess.PIPE, stderr=subprocess.PIPE
     )
@@ -370,26 +371,28 @@
     while "python" not in os.readlink(f"/proc/{shell.pid}/exe"):
         pass
     shell.send_signal(signal.SIGHUP)
-    said = shell.stderr.readline()
+    output = shell.stderr.readline()
     shell.kill()
     shell.wait()
     shell.stderr.close()
-    assert b" serves at " in said
+    assert b" serves at " in output
 
 
 def test_a_close_in_the_turn_of_the_last_bytes_is_known_when_these_are_read() -> None:
-    """Whoever takes the bytes can ask whether their sender is still there."""
+    """The receiver of the bytes can tell whether their sender is still connected."""
     with socket.create_server((HOST, 0)) as server:
         far = socket.create_connection(server.getsockname())
         near, _ = server.accept()
-    left: list[bool] = []
+    finished: list[bool] = []
     loop = Loop(VirtualTime().clock)
-    made = Connection(loop, near, lambda connection: left.append(connection.peer_finished), lambda *_: None)
+    made = Connection(
+        loop, near, lambda connection: finished.append(connection.peer_finished), lambda *_: None
+    )
     far.sendall(b"one")
     loop.turn(ZERO)
     far.sendall(b"two")
     far.close()
     loop.turn(ZERO)
-    assert left == [False, True]
+    assert finished == [False, True]
     made.close()
     loop.close()
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -188,6 +188,8 @@
     assert dns.message.from_wire(reply).rcode() == dns.rcode.NOERROR
     stage.play("phone send INVITE c2\n phone expect 100 c2")
     stage.wait(timedelta(seconds=1))
-    assert not [m for m in stage.peers["server"].heard if m.call_id != stage.peers["server"].heard[0].call_id]
-    assert stage.peers["fresh"].heard
+    assert not [
+        m for m in stage.peers["server"].requests if m.call_id != stage.peers["server"].requests[0].call_id
+    ]
+    assert stage.peers["fresh"].requests
     assert f"{stage.peers['fresh'].port} two" in path.read_text()
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -10,8 +10,8 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.core.liveness import DEAD_AFTER, MIN_PROBED, PROBE_AFTER_SILENCE, PROBE_TIMEOUT, Liveness
-from tests.scenario import HOST, Peer, crowded
-from tests.test_platform import ANOTHER, STANDS, Platform
+from tests.scenario import HOST, Peer, full_backlog
+from tests.test_platform import ESTABLISH, ESTABLISH_OTHER, Platform
 
 T0 = datetime(2026, 1, 1, tzinfo=UTC)
 TOLD_WITHIN = timedelta(seconds=8)  # of its end, where no release could be sent
@@ -64,14 +64,14 @@
 
 def fall_silent(server: Peer) -> None:
     """It takes what comes and says nothing."""
-    server.answers = False
+    server.answers_probes = False
     server.take = lambda message: None  # type: ignore[method-assign]
 
 
 def fail_tests_on(server: Peer, silent: socket.socket) -> None:
     """One of its connections is dead, the others are not."""
-    passes = server.passes_test
-    server.passes_test = lambda message: server.sock is not silent and passes(message)  # type: ignore[method-assign]
+    passes = server.answers_probe
+    server.answers_probe = lambda message: server.sock is not silent and passes(message)  # type: ignore[method-assign]
 
 
 def until_told(stage: Platform, longest_s: float = 9.0) -> float:
@@ -87,12 +87,12 @@
 def test_the_caller_is_told_though_neither_its_server_nor_discovery_says_a_word(accepts: bool) -> None:
     """The machine vanished: the connection stayed open and silent, and the list did not change."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
     fall_silent(server)
-    with crowded() as (full, _):
+    with full_backlog() as (full, _):
         if not accepts:
-            stage.tell("server", port=full.getsockname()[1])
+            stage.set_servers("server", port=full.getsockname()[1])
         took = until_told(stage)
     assert timedelta(seconds=7) < timedelta(seconds=took) < TOLD_WITHIN
     assert stage.switch.is_idle
@@ -101,7 +101,7 @@
 
 def test_a_server_with_no_news_is_tested_and_its_calls_stand_on() -> None:
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     tests = COUNTERS["out.server.OPTIONS"]
     stage.play("wait 9000\n caller expect nothing")
     assert not stage.switch.is_idle and COUNTERS["out.server.OPTIONS"] > tests
@@ -119,12 +119,12 @@
 def test_a_server_that_was_silent_for_six_seconds_keeps_its_calls() -> None:
     """A partition: what it had to say comes once it is over."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
     fall_silent(server)
     stage.play("wait 6000")
     del server.take
-    server.answers = True
+    server.answers_probes = True
     stage.play("wait 4000\n caller expect nothing")
     assert not stage.switch.is_idle
 
@@ -132,9 +132,9 @@
 def test_a_server_that_comes_back_after_its_calls_were_counted_as_over_is_told() -> None:
     """It still has them: they would take its lines until they end."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
-    server.answers = False
+    server.answers_probes = False
     until_told(stage)
     stage.settle()
     assert "BYE" in [message.method for message in server.inbox]
@@ -143,7 +143,7 @@
 def test_a_connection_that_is_silent_alone_is_closed_and_its_calls_stand_on() -> None:
     """Its server is heard elsewhere, and says there what it could not say on the dead one."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
     dead = next(iter(server.rings))
     fail_tests_on(server, dead)
@@ -163,7 +163,7 @@
 
 def test_a_process_that_stood_still_itself_does_not_count_its_servers_as_dead() -> None:
     stage = Platform("server")
-    stage.play(STANDS + "wait 900")
+    stage.play(ESTABLISH + "wait 900")
     stage.time.seconds += 30
     stage.play("wait 1000\n caller expect nothing")
     assert not stage.switch.is_idle
@@ -176,7 +176,7 @@
 def test_another_process_at_the_same_address_has_none_of_the_calls() -> None:
     """It took over so quickly that no connection was refused; only the lines in use give it away."""
     stage = Platform("server")
-    stage.play(STANDS + "wait 2500\n server close reset\n wait 100")
+    stage.play(ESTABLISH + "wait 2500\n server close reset\n wait 100")
     assert not stage.switch.is_idle, "a reset cuts no call by itself"
     stage.play(report(40) + "\n wait 300\n caller expect nothing\n wait 1000")
     stage.play("caller expect BYE c1 reason=Q.850;cause=41")
@@ -186,28 +186,28 @@
 @pytest.mark.parametrize("free", [39, 20])
 def test_a_server_whose_lines_are_in_use_keeps_its_calls_after_a_reset(free: int) -> None:
     stage = Platform("server")
-    stage.play(STANDS + "wait 2500\n server close reset\n wait 100\n" + report(free) + "\n wait 2000")
+    stage.play(ESTABLISH + "wait 2500\n server close reset\n wait 100\n" + report(free) + "\n wait 2000")
     assert not stage.switch.is_idle
 
 
 def test_a_report_proves_nothing_while_no_connection_has_broken() -> None:
     stage = Platform("server")
-    stage.play(STANDS + "wait 2500\n" + report(40) + "\n wait 2000")
+    stage.play(ESTABLISH + "wait 2500\n" + report(40) + "\n wait 2000")
     assert not stage.switch.is_idle
 
 
 def test_a_draining_server_that_takes_no_connection_keeps_the_calls_on_those_it_has() -> None:
     """Its listener was closed: a refused connection proved that its process was gone, and calls were cut."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
     assert server.listener is not None
     with socket.create_server((HOST, 0)) as closed:
         port = closed.getsockname()[1]
     server.listener.close()
     server.listener = None
-    server.passes_test = lambda message: message.method == "OPTIONS"  # type: ignore[method-assign]
-    peer = next(iter(stage.side._peers.values()))
+    server.answers_probe = lambda message: message.method == "OPTIONS"  # type: ignore[method-assign]
+    peer = next(iter(stage.call_servers._peers.values()))
     peer._entry = replace(peer._entry, address=(HOST, port))
     for lane in list(peer._lanes):
         peer._retire(lane, "a test")
@@ -224,7 +224,7 @@
 def test_a_release_that_is_not_confirmed_goes_another_way_as_well() -> None:
     """A client's connection was silently dead: the release lay there until it ended, seconds later."""
     stage = Platform("server")
-    stage.play(ANOTHER + STANDS)
+    stage.play(ESTABLISH_OTHER + ESTABLISH)
     stage.play("""
         server send BYE t reason=Q.850;cause=16
         server expect 200 t
@@ -246,7 +246,7 @@
 
 def test_where_clients_confirm_no_release_each_is_sent_once() -> None:
     stage = Platform("server")
-    stage.play(ANOTHER + STANDS + ENDS)
+    stage.play(ESTABLISH_OTHER + ESTABLISH + ENDS)
     stage.play("wait 2000\n other expect nothing\n caller expect nothing")
 
 
@@ -256,7 +256,7 @@
 def test_calls_of_a_broken_connection_end_with_the_others_once_another_machine_answers() -> None:
     """Their connection had broken before the machine vanished; the new one at its address was heard."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
     server.close(reset=True)
     stage.play("wait 300")
@@ -270,7 +270,7 @@
 def test_a_release_on_a_connection_that_breaks_at_once_comes_again() -> None:
     """It was written to a connection that its server closed as soon as it was up."""
     stage = Platform("server")
-    stage.play(STANDS + "caller send BYE c1\n caller expect 200 c1")
+    stage.play(ESTABLISH + "caller send BYE c1\n caller expect 200 c1")
     stage.play("server expect BYE c1\n server close reset")
     stage.play("wait 300\n server expect BYE c1\n server send 200 BYE c1\n server close reset")
     stage.play("wait 1000\n server expect nothing")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from reedmount.net.connection import Connection, EndReason, bind, parse_address
 from reedmount.net.loop import Loop
 from reedmount.net.ring import Ring
-from tests.scenario import HOST, VirtualTime, crowded
+from tests.scenario import HOST, VirtualTime, full_backlog
 
 
 def test_the_ring_keeps_order_over_its_seam_and_its_bound() -> None:
@@ -83,7 +83,7 @@
     for _ in range(5):
         loop.turn(timedelta(milliseconds=20))
     assert ends == [EndReason.REFUSED]
-    with crowded() as (full, _filling):
+    with full_backlog() as (full, _filling):
         loop, time, ends = dial(full.getsockname(), timedelta(milliseconds=500))
         loop.turn(timedelta(milliseconds=20))
         assert not ends
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front, played in scenarios: a caller, two call servers and the controller on loopback."""
+"""The platform's front, tested with scenarios: clients, call servers and the controller on loopback."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.support import SETTINGS
 
 SETUP = "INVITE c1 x-cos=small x-timer-ms=2000 x-legs=dest:1;width:1;via:-1"
-STANDS = f"""
+ESTABLISH = f"""
     caller send {SETUP} | hello
     server expect INVITE c1 body=hello x-cos=small x-timer-ms=*
     server send 200 INVITE | there
@@ -28,7 +28,7 @@
     caller expect 200 c1 body=there
     caller send ACK c1
 """
-ANOTHER = """
+ESTABLISH_OTHER = """
     other send INVITE t x-cos=small x-timer-ms=2000
     server expect INVITE t
     server send 200 INVITE
@@ -38,25 +38,25 @@
 
 
 class Platform(Stage):
-    """One controller, a caller and servers by name; the list is told by hand."""
+    """One controller, two clients and call servers by name; the test sets the list of servers."""
 
-    def __init__(self, *servers: str, lanes: int = 8, **changes: object) -> None:
+    def __init__(self, *servers: str, connections: int = 8, **changes: object) -> None:
         super().__init__()
         settings = replace(SETTINGS, release_wait_us=200_000, redials_marked=False, **changes)  # type: ignore[arg-type]
         self.switch = Switch(self.loop, settings, 1)
         self.limits = ConnectionLimits(timedelta(milliseconds=500))
-        self.side = CallServers(self.loop, self.switch, self.limits, 2 * lanes)
-        self.switch.attach(self.side)
+        self.call_servers = CallServers(self.loop, self.switch, self.limits, 2 * connections)
+        self.switch.attach(self.call_servers)
         self.callers = Callers(self.loop, self.switch, (HOST, 0), 16)
         for name in ("caller", "other"):
             self.peer(name, "thin", self.callers.address)
         self.version = 0
         for name in servers:
             self.peer(name, "thin")
-        self.tell(*servers)
+        self.set_servers(*servers)
         self.settle()
 
-    def tell(self, *names: str, state: str = "serving", port: int = 0) -> None:
+    def set_servers(self, *names: str, state: str = "serving", port: int = 0) -> None:
         self.version += 1
         flags = (state == "serving", state == "removed")
         entries = [
@@ -76,7 +76,7 @@
 
 def test_a_call_is_set_up_and_released_by_its_server(stage: Platform) -> None:
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         server send BYE c1 reason=Q.850;cause=16
         server expect 200 c1
@@ -91,7 +91,7 @@
 
 
 def test_messages_come_split_and_joined(stage: Platform) -> None:
-    """Two set-ups in one segment and a third in single bytes: all three are read."""
+    """Two set-ups in one segment and a third byte by byte: all three are read."""
     caller = stage.peers["caller"]
     parts = [caller.request("INVITE", name, {"x-cos": "small", "x-timer-ms": "2000"}, b"x\r\n").encode()
              for name in ("a", "b", "c")]  # fmt: skip
@@ -108,9 +108,9 @@
     """)
 
 
-def test_a_release_by_the_caller_comes_on_another_connection(stage: Platform) -> None:
+def test_a_caller_may_release_its_call_on_another_connection(stage: Platform) -> None:
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         caller close
         other send BYE c1 reason=Q.850;cause=16
@@ -121,9 +121,9 @@
 
 
 def test_a_release_waits_for_the_next_connection(stage: Platform) -> None:
-    """The caller's only connection had been closed: the release was lost with it."""
+    """The caller's only connection was closed: its releases were lost."""
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         caller close
         wait 100
@@ -137,11 +137,11 @@
     )
 
 
-def test_a_release_that_was_not_heard_goes_another_way(stage: Platform) -> None:
-    """It was written into a connection that its caller was closing at that moment."""
+def test_an_unconfirmed_release_is_sent_again_on_another_connection(stage: Platform) -> None:
+    """A release was lost on a connection that its client was just closing."""
     stage.play(
-        ANOTHER
-        + STANDS
+        ESTABLISH_OTHER
+        + ESTABLISH
         + """
         server send BYE c1 reason=Q.850;cause=16
         caller expect BYE c1
@@ -175,8 +175,8 @@
     """)
 
 
-def test_where_callers_are_told_no_pause_a_refusal_has_none() -> None:
-    """It was told whatever the settings allowed."""
+def test_a_refusal_has_no_pause_if_the_settings_allow_none() -> None:
+    """The pause was sent whatever the settings allowed."""
     stage = Platform("server", max_attempts=1, max_retry_after_us=0)
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n server send 503 INVITE")
     stage.play("server expect ACK c1\n wait 5")
@@ -185,7 +185,7 @@
 
 
 def test_the_final_answer_comes_before_the_caller_gives_up(stage: Platform) -> None:
-    """By 40 ms. It was 120 for as long as processes with many system calls were stalled for so long."""
+    """By 40 ms. It was 120 ms as long as processes with many system calls were stalled for that time."""
     stage.play(f"""
         caller send {SETUP}
         server expect INVITE c1
@@ -197,7 +197,7 @@
     """)
 
 
-def test_a_set_up_given_up_is_called_off_and_owed_nothing(stage: Platform) -> None:
+def test_a_cancelled_set_up_is_cancelled_at_its_server_and_gets_no_answer(stage: Platform) -> None:
     stage.play(f"""
         caller send {SETUP}
         server expect INVITE c1
@@ -211,7 +211,7 @@
 
 
 def test_an_answer_that_crosses_the_cancel_is_released(stage: Platform) -> None:
-    """The call stood at its server with nobody at the other end."""
+    """The call stayed established at its server although its caller had cancelled it."""
     stage.play(f"""
         caller send {SETUP}
         server expect INVITE c1
@@ -224,7 +224,7 @@
     """)
 
 
-def test_a_cancel_that_crosses_the_answer_is_settled_by_the_ack(stage: Platform) -> None:
+def test_a_cancel_that_crosses_the_answer_releases_the_call_without_an_ack(stage: Platform) -> None:
     stage.play(f"""
         caller send {SETUP}
         server expect INVITE c1
@@ -238,7 +238,7 @@
     """)
 
 
-def test_a_refused_connection_is_tried_elsewhere_at_once() -> None:
+def test_after_a_refused_connection_another_server_is_tried_at_once() -> None:
     stage = Platform("server", "second")
     stage.peers["server"].stop()
     stage.play(f"""
@@ -250,8 +250,8 @@
     """)
 
 
-def test_a_second_attempt_is_answered_by_a_server_that_gives_no_numbers_back() -> None:
-    """Call servers answer with ``CSeq: 1`` and no Via: each answer to a second attempt was passed over."""
+def test_an_answer_with_cseq_1_answers_the_second_attempt() -> None:
+    """Call servers answer with ``CSeq: 1`` and no Via: each answer to a second attempt was ignored."""
     stage = Platform("server", "second")
     stage.play(f"""
         caller send {SETUP}
@@ -266,7 +266,7 @@
     stage.play("second expect ACK c1\n caller expect 200 c1 body=there")
 
 
-def test_an_answer_to_an_earlier_attempt_is_not_taken_for_the_present_one() -> None:
+def test_an_answer_to_an_earlier_attempt_does_not_answer_the_current_one() -> None:
     stage = Platform("server")
     stage.play(f"""
         caller send {SETUP}
@@ -275,16 +275,16 @@
         server expect ACK c1
         server expect INVITE c1
     """)
-    first = stage.peers["server"].heard[0]
+    first = stage.peers["server"].requests[0]
     stage.peers["server"].write(response(first, 200, body=b"old\r\n").encode())
     stage.play("caller expect nothing\n server expect nothing\n server send 200 INVITE c1 | new")
     stage.play("server expect ACK c1\n caller expect 200 c1 body=new")
 
 
 def test_a_server_that_closes_each_connection_at_once_is_not_dialled_without_a_pause() -> None:
-    """A server that holds all the connections it accepts closes new ones: the loop did nothing but dial."""
+    """A server at its limit of connections closes new ones at once: the loop did nothing but dial."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     dials = COUNTERS["server.connects"]
     for _ in range(8):
         if stage.peers["server"].sock is not None:
@@ -324,9 +324,9 @@
     """)
 
 
-def test_calls_of_a_process_that_died_are_released(stage: Platform) -> None:
-    """Connections reset and new ones refused: its calls were left standing for ever."""
-    stage.play(STANDS)
+def test_calls_of_a_server_process_that_died_are_released(stage: Platform) -> None:
+    """Its connections are reset and new ones refused: its calls were never released."""
+    stage.play(ESTABLISH)
     server = stage.peers["server"]
     assert server.listener is not None
     server.listener.close()
@@ -339,14 +339,14 @@
 
 
 def test_calls_of_a_server_removed_from_the_list_are_released(stage: Platform) -> None:
-    """A machine that vanished says nothing; its connection stays open and silent."""
-    stage.play(STANDS)
-    stage.tell("server", state="removed")
+    """The connection to a machine that failed stays open and silent."""
+    stage.play(ESTABLISH)
+    stage.set_servers("server", state="removed")
     stage.play("caller expect BYE c1 reason=Q.850;cause=41")
 
 
-def test_nothing_queued_reaches_a_server_that_drains() -> None:
-    """Set-ups waited for a connection to come up, and went out after the drain was told."""
+def test_queued_set_ups_are_not_sent_to_a_draining_server() -> None:
+    """Set-ups queued for a connection that was being established were sent after the drain had begun."""
     stage = Platform()
     stage.peer("server", "thin")
     listed = stage.peers["server"]
@@ -368,9 +368,9 @@
 
 def test_an_address_reused_by_a_new_server_gets_its_own_calls(stage: Platform) -> None:
     port = stage.peers["server"].port
-    stage.tell("server", state="removed")
+    stage.set_servers("server", state="removed")
     stage.peers["fresh"] = stage.peers.pop("server")
-    stage.tell("fresh", port=port)
+    stage.set_servers("fresh", port=port)
     stage.play(f"""
         fresh expect CLOSED
         caller send {SETUP}
@@ -378,7 +378,7 @@
     """)
 
 
-def test_a_late_answer_of_a_dead_attempt_is_released() -> None:
+def test_a_late_answer_of_an_abandoned_attempt_is_released() -> None:
     stage = Platform("server", "second", max_attempts=2)
     stage.play(f"""
         caller send {SETUP}
@@ -393,12 +393,12 @@
     """)
 
 
-def test_a_connection_on_which_nothing_is_heard_is_trusted_no_longer() -> None:
-    """A machine that vanished and came back left its old connection open: set-ups went into it for ever."""
-    stage = Platform("server", lanes=1)
+def test_a_connection_without_answers_is_not_used_for_further_set_ups() -> None:
+    """The connection to a machine that failed and restarted stayed open: set-ups were sent on it for ever."""
+    stage = Platform("server", connections=1)
 
     def setup(name: str) -> None:
-        stage.side.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
+        stage.call_servers.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
         stage.settle()
 
     setup("c1")
@@ -413,7 +413,7 @@
     stage.play("server expect INVITE c3")
 
 
-def test_malformed_input_costs_one_connection_only(stage: Platform) -> None:
+def test_malformed_input_closes_only_its_own_connection(stage: Platform) -> None:
     stage.peers["caller"].write(b"nonsense\r\n\r\n")
     stage.play("""
         caller expect CLOSED
@@ -426,12 +426,12 @@
     """)
 
 
-def test_the_test_fails_once_the_node_is_stopping(stage: Platform) -> None:
+def test_probes_fail_once_the_node_is_stopping(stage: Platform) -> None:
     stage.switch.lifecycle.end()
-    stage.play("caller send OPTIONS t\n caller expect 503 t" + STANDS)
+    stage.play("caller send OPTIONS t\n caller expect 503 t" + ESTABLISH)
 
 
-def test_callers_beyond_the_budget_push_out_idle_connections() -> None:
+def test_connections_beyond_the_limit_evict_idle_ones() -> None:
     stage = Platform("server")
     stage.callers.max_connections = 1
     stage.play("""
@@ -443,13 +443,13 @@
     """)
 
 
-def test_a_connection_that_only_tested_hears_no_release_and_makes_room_for_others() -> None:
-    """Clients that test once and stay pushed out those with calls, then got the releases: nobody heard."""
+def test_a_connection_that_only_probed_gets_no_release_and_is_evicted_first() -> None:
+    """Clients that probed once and stayed connected evicted those with calls, and got their releases."""
     stage = Platform("server")
     stage.callers.max_connections = 2
     stage.peer("late", "thin", stage.callers.address)
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         other send OPTIONS t
         other expect 200 t
@@ -466,18 +466,18 @@
     )
 
 
-def test_servers_that_tell_their_lines_in_one_turn_cost_the_module_one_event() -> None:
-    """28 of them told at once, each an event that goes over all held calls: turns of 0.2 s, answers late."""
+def test_load_reports_of_one_turn_are_one_event_for_the_module() -> None:
+    """Each of 28 reports was an event that goes over all held calls: turns of 0.2 s, late answers."""
     stage = Platform("a", "b", "c")
     seen: list[i.Event] = []
     handle = stage.switch._module.handle
 
-    def noted(now: int, event: i.Event) -> list[i.Action]:
+    def record(now: int, event: i.Event) -> list[i.Action]:
         seen.append(event)
         return handle(now, event)
 
-    stage.switch._module.handle = noted  # type: ignore[method-assign]
-    for lines in (3.0, 5.0):  # of one server the latest word counts
+    stage.switch._module.handle = record  # type: ignore[method-assign]
+    for lines in (3.0, 5.0):  # of each server the latest report counts
         for name in "abc":
             stage.switch.load_reported(name, i.LoadReport(free_lines=lines))
     stage.settle()
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -16,7 +16,7 @@
 from reedmount.net.ring import Ring
 from reedmount.sip.framing import next_frame
 from tests.scenario import digits
-from tests.test_platform import SETUP, STANDS, Platform
+from tests.test_platform import ESTABLISH, SETUP, Platform
 
 GOOD = b"there\r\n"
 HEAD = b"SIP/2.0 200 OK\r\nCall-ID: %b\r\nCSeq: 1 INVITE\r\n" % digits("c1").encode()
@@ -78,7 +78,7 @@
     """It was closed 1.5 s after an answer had been overtaken: a release on its way there was lost."""
     stage = Platform("server", max_attempts=1)
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         wait 10
         caller send INVITE c2 x-cos=small x-timer-ms=400
@@ -99,14 +99,16 @@
 
 def test_a_reset_connection_is_followed_by_another_on_which_releases_come_again() -> None:
     stage = Platform("server")
-    stage.play(STANDS + "wait 200\n server close reset\n wait 20\n server send BYE c1\n server expect 200 c1")
+    stage.play(
+        ESTABLISH + "wait 200\n server close reset\n wait 20\n server send BYE c1\n server expect 200 c1"
+    )
     stage.play("caller expect BYE c1")
 
 
 def test_a_second_copy_of_an_answer_leaves_the_call_standing() -> None:
     """It was taken for a late answer and released: the call was cut, and its caller not told."""
     stage = Platform("server")
-    stage.play(STANDS)
+    stage.play(ESTABLISH)
     answer = HEAD + b"Content-Length: 7\r\n\r\n" + GOOD
     accepted(stage).sendall(answer + answer.replace(digits("c1").encode(), b"00" * 8))
     stage.play("""
@@ -128,8 +130,8 @@
         server expect ACK c1
         server expect INVITE c1
     """)
-    first, second = stage.peers["server"].heard[0], accepted(stage)
-    other = stage.peers["server"].came[id(first)]
+    first, second = stage.peers["server"].requests[0], accepted(stage)
+    other = stage.peers["server"].received_on[id(first)]
     assert other is not second, "the next attempt had a connection of its own"
     other.sendall(HEAD.replace(b"200 OK", b"480 Moot") + b"Content-Length: 0\r\n\r\n")
     stage.play("server expect nothing\n caller expect nothing")
@@ -183,14 +185,14 @@
 def test_what_cannot_be_read_costs_its_connection_and_goes_no_further(raw: bytes) -> None:
     stage = Platform("server")
     stage.peers["caller"].write(raw)
-    stage.play("caller expect CLOSED\n server expect nothing\n" + STANDS)
+    stage.play("caller expect CLOSED\n server expect nothing\n" + ESTABLISH)
 
 
 def test_connections_that_say_or_get_nothing_are_closed_and_those_with_calls_are_kept() -> None:
     """Hundreds of silent connections held the descriptors that callers need, and got no end in time."""
     stage = Platform("server")
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         server send BYE c1
         server expect 200 c1
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -162,7 +162,7 @@
         wait 520
         server expect INVITE
     """)
-    first, second = stage.peers["server"].heard
+    first, second = stage.peers["server"].requests
     assert first.encode() == second.encode()
 
 
@@ -679,7 +679,7 @@
     stage = Sip("server")
     stage.play(RUNG)
     server = stage.peers["server"]
-    asked = server.heard[-1]
+    asked = server.requests[-1]
     for tag in ("a", "b"):
         contact = ("Contact", f"<sip:{tag}@{HOST}:{server.port}>")
         server.write(response(asked, 200, [contact], tag.encode(), tag=tag).encode())
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -8,7 +8,7 @@
 
 from reedmount.core.trace import BURST, PER_SECOND, Trace
 from tests.scenario import VirtualTime, digits
-from tests.test_platform import STANDS, Platform
+from tests.test_platform import ESTABLISH, Platform
 
 
 def made() -> tuple[VirtualTime, Trace, io.StringIO, list[Callable[[], None]]]:
@@ -46,7 +46,7 @@
     out = io.StringIO()
     stage.loop.trace._out = out
     stage.play(
-        STANDS
+        ESTABLISH
         + """
         server send BYE c1 reason=Q.850;cause=16
         server expect 200 c1
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes, one border controller: the listener changes hands, each passes on what is the other's."""
+"""Upgrades: the listener is handed to a new process, and each forwards messages that are the other's."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from tests.scenario import HOST, Stage
 from tests.test_board import notice
 from tests.test_config import platform
-from tests.test_platform import SETUP, STANDS, Platform
+from tests.test_platform import ESTABLISH, SETUP, Platform
 from tests.test_start import line, started
 
 
 class Pair(Platform):
-    """An old process and a new one on one loop, joined as after a start; ``late`` calls at the new one."""
+    """An old and a new process on one loop, connected to each other; ``late`` is a client of the new one."""
 
     def __init__(self) -> None:
         super().__init__("server")
@@ -64,9 +64,9 @@
     made.loop.close()
 
 
-def test_the_old_one_closes_what_is_idle_and_its_calls_go_on(stage: Pair) -> None:
-    """What it has taken it answers; calls that stand are released by way of the new one's connections."""
-    stage.play(STANDS + f"other send {SETUP.replace('c1', 'c2')}\n server expect INVITE c2")
+def test_the_old_process_closes_idle_connections_and_keeps_its_calls(stage: Pair) -> None:
+    """It answers open set-ups; releases of its established calls go over connections of the new process."""
+    stage.play(ESTABLISH + f"other send {SETUP.replace('c1', 'c2')}\n server expect INVITE c2")
     stage.ready()
     assert stage.switch.lifecycle.phase is Phase.DRAINING and not stage.switch.lifecycle.resume()
     stage.play("""
@@ -92,8 +92,8 @@
     assert stage.switch.is_idle and not stage.successor.is_idle
 
 
-def test_an_end_that_begins_before_the_new_one_is_ready_changes_nothing(stage: Pair) -> None:
-    """The signal may overtake the word: connections stayed open, and their requests came to the old one."""
+def test_the_old_process_drains_though_its_shutdown_began_before_the_new_one_was_ready(stage: Pair) -> None:
+    """If SIGTERM came before the message, connections stayed open and the old process got their requests."""
     stage.play("caller send OPTIONS t\n caller expect 200 t")
     stage.switch.lifecycle.end()
     stage.ready()
@@ -101,7 +101,7 @@
     assert stage.callers.is_idle
 
 
-def test_room_that_shrinks_is_given_up_at_the_next_newcomer(stage: Pair) -> None:
+def test_a_lowered_limit_evicts_connections_at_the_next_accept(stage: Pair) -> None:
     stage.callers.max_connections = 8
     for _ in range(2):
         crowd = [socket.create_connection(stage.callers.address) for _ in range(8)]
@@ -112,8 +112,8 @@
         sock.close()
 
 
-def test_a_release_and_a_cancel_that_reach_the_wrong_process_go_to_the_other(stage: Pair) -> None:
-    stage.play(STANDS + f"other send {SETUP.replace('c1', 'c2')}\n server expect INVITE c2")
+def test_a_release_and_a_cancel_that_reach_the_wrong_process_are_forwarded(stage: Pair) -> None:
+    stage.play(ESTABLISH + f"other send {SETUP.replace('c1', 'c2')}\n server expect INVITE c2")
     stage.ready()
     stage.play("""
         late send BYE c1
@@ -126,11 +126,11 @@
     assert stage.switch.is_idle and stage.successor.is_idle
     COUNTERS.add("twin.out.bye", -COUNTERS["twin.out.bye"])
     stage.play("late send BYE c9\n late expect 200 c9\n server expect BYE c9\n server expect nothing")
-    assert COUNTERS["twin.out.bye"] == 1, "what neither knows is not passed to and fro"
+    assert COUNTERS["twin.out.bye"] == 1, "a call that neither knows is not forwarded back"
 
 
-def test_releases_of_the_other_s_calls_are_not_counted_as_made_up(stage: Pair) -> None:
-    """Beyond 16 in a quarter of a second they were answered 481, and the calls stayed up."""
+def test_releases_of_the_other_process_s_calls_are_not_limited_like_unknown_ones(stage: Pair) -> None:
+    """Beyond 16 in a quarter of a second they were answered 481, and the calls stayed established."""
     for number in range(20):
         stage.play(f"""
             caller send INVITE a{number} x-cos=small x-timer-ms=2000
@@ -147,9 +147,9 @@
     assert len(stage.peers["server"].inbox) == 16
 
 
-def test_a_server_s_release_that_reaches_the_new_one_first_is_told_once(stage: Pair) -> None:
-    """Servers repeat a release on the next connection that opens: in an upgrade, the new process's."""
-    stage.play(STANDS)
+def test_a_server_s_release_that_the_new_process_receives_is_sent_to_the_client_once(stage: Pair) -> None:
+    """Servers repeat a release on the next connection that opens: in an upgrade, one of the new process."""
+    stage.play(ESTABLISH)
     stage.ready()
     stage.play("wait 100\n caller expect CLOSED\n late send INVITE c3 x-cos=small x-timer-ms=2000")
     stage.play("""
@@ -164,19 +164,19 @@
     assert stage.switch.is_idle
 
 
-def test_the_new_one_takes_the_room_that_is_left(stage: Pair) -> None:
-    """Descriptors are counted for both together."""
+def test_the_new_process_uses_the_descriptors_that_the_old_one_leaves(stage: Pair) -> None:
+    """The limit of descriptors holds for both processes together."""
     stage.ready()
     stage.wait(timedelta(milliseconds=250))
     assert stage.new.room == 100 - stage.loop.watched_count - 6
     stage.new.handover_peer._dispatch({"what": "held", "count": 1000})
     assert stage.new.room == 8
     stage.new.handover_peer._dispatch({"what": "held"})
-    stage.new.handover_peer._dispatch({"what": "a word of another version"})
+    stage.new.handover_peer._dispatch({"what": "a kind of message of another version"})
     assert stage.new.room == 8
 
 
-def test_the_old_one_takes_clients_again_when_the_new_one_dies(stage: Pair) -> None:
+def test_the_old_process_accepts_clients_again_when_the_new_one_dies(stage: Pair) -> None:
     stage.ready()
     client = socket.create_connection(stage.callers.address)  # waits at the listener
     client.sendall(b"OPTIONS sip:p@net SIP/2.0\r\nCall-ID: t\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
@@ -189,8 +189,8 @@
     client.close()
 
 
-def test_the_listener_is_given_and_keeps_who_waits_there(tmp_path: Path) -> None:
-    """Where the old one closed a listener of its own, the system reset whoever waited at it."""
+def test_the_listener_is_passed_with_its_waiting_connections(tmp_path: Path) -> None:
+    """When the old process closed a listener of its own, the system reset the connections in its backlog."""
     stage, deep = Stage(), tmp_path / ("deep" * 30)
     deep.mkdir()
     old = bind((HOST, 0), shared=True)
@@ -217,7 +217,7 @@
         sock.close()
 
 
-def test_a_dead_one_s_file_a_silent_one_and_none_at_all_give_nothing(tmp_path: Path) -> None:
+def test_no_listener_comes_from_a_dead_a_silent_or_a_missing_predecessor(tmp_path: Path) -> None:
     wait = timedelta(milliseconds=50)
     assert request_listener(tmp_path, (HOST, 1), wait) is None
     (tmp_path / FILE).write_text("no socket")
@@ -228,7 +228,7 @@
     silent.listen()
     assert request_listener(tmp_path, (HOST, 1), wait) is None
     silent.close()
-    assert request_listener(tmp_path, (HOST, 1), wait) is None, "a dead one's file"
+    assert request_listener(tmp_path, (HOST, 1), wait) is None, "the file of a dead process"
     stage = Stage()
     successors = SuccessorListener(stage.loop, tmp_path, bind((HOST, 0)), lambda _: None)
     successors.open()
@@ -238,26 +238,26 @@
     stage.loop.close()
 
 
-def test_the_board_s_news_are_read_before_the_new_one_is_ready(tmp_path: Path) -> None:
-    """The file is as old as the old process: servers that have gone since would be sent calls."""
+def test_the_new_process_polls_the_board_before_it_is_ready(tmp_path: Path) -> None:
+    """The list in the file is as old as the old process: it may name servers removed since."""
     stage = Stage()
-    server, told = socket.create_server((HOST, 0)), []
+    server, updates = socket.create_server((HOST, 0)), []
     Board(stage.loop, server.getsockname(), BoardList(Switch(stage.loop, platform(tmp_path).settings, 1)),
-          lambda: told.append(1))  # fmt: skip
+          lambda: updates.append(1))  # fmt: skip
     stage.settle()
     board, _ = server.accept()
-    for news in (False, True):
+    for expected in (False, True):
         stage.settle()
-        asked = board.recv(4096)
-        assert (b"linger=0 " in asked) is not news and len(told) == news
+        poll = board.recv(4096)
+        assert (b"linger=0 " in poll) is not expected and len(updates) == expected
         body = json.dumps({"rev": 0, "notices": []}).encode()
         board.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     board.close()
     server.close()
 
 
-def test_an_upgrade_loses_no_request_and_the_next_one_follows(tmp_path: Path) -> None:
-    """Two binds of one address: the second process ended at once, and the day with it."""
+def test_an_upgrade_loses_no_request_and_can_be_repeated(tmp_path: Path) -> None:
+    """When both processes bound the same address, the second one exited at once."""
     platform(tmp_path, known={"rev": 1, "notices": [notice(1, whole=True)]})
     env = {"GW_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
     setup = (b"INVITE sip:00000000000000a7@net SIP/2.0\r\nCall-ID: %016x\r\nCSeq: 1 INVITE\r\n"
@@ -279,7 +279,7 @@
             assert "a successor has been given" in line(old)
             assert "a predecessor has given" in line(new)
             assert line(new).endswith(f":{address[1]}\n")
-            until = time.monotonic() + 3  # it waits 2 s for a board that is not there
+            until = time.monotonic() + 3  # it waits 2 s for a board that does not exist
             while time.monotonic() < until:
                 ask_once(address)
             old.send_signal(signal.SIGTERM)
