--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -162,7 +162,7 @@
         wait 520
         server expect INVITE
     """)
-    first, second = stage.peers["server"].heard
+    first, second = stage.peers["server"].requests
     assert first.encode() == second.encode()
 
 
@@ -681,7 +681,7 @@
     stage = SipStage("server")
     stage.play(INVITE_REACHES_SERVER)
     server = stage.peers["server"]
-    invite = server.heard[-1]
+    asked = server.requests[-1]
     for tag in ("a", "b"):
         contact = ("Contact", f"<sip:{tag}@{HOST}:{server.port}>")
         server.write(response(invite, 200, [contact], tag.encode(), tag=tag).encode())
