--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -208,7 +208,11 @@
                 stage.loop.turn(ZERO)
         far.send(seeds[0])
         stage.settle()
-        assert heard and heard[-1] == {"what": "held", "count": 3} and stage.callers.handover_peer.connected
+        assert (
+            received
+            and received[-1] == {"what": "held", "count": 3}
+            and stage.callers.handover_peer.connected
+        )
 
 
 def test_the_thin_front() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -476,7 +476,7 @@
         seen.append(event)
         return handle(now, event)
 
-    stage.switch._module.handle = record  # type: ignore[method-assign]
+    stage.switch._controller.handle = record  # type: ignore[method-assign]
     for lines in (3.0, 5.0):  # of each server the latest report counts
         for name in "abc":
             stage.switch.load_reported(name, i.LoadReport(free_lines=lines))
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -681,7 +681,7 @@
     stage = SipStage("server")
     stage.play(INVITE_REACHES_SERVER)
     server = stage.peers["server"]
-    asked = server.requests[-1]
+    invite = server.requests[-1]
     for tag in ("a", "b"):
         contact = ("Contact", f"<sip:{tag}@{HOST}:{server.port}>")
         server.write(response(invite, 200, [contact], tag.encode(), tag=tag).encode())
