--- a/reedmount/fronts/call_servers.py
+++ b/reedmount/fronts/call_servers.py
@@ -1,4 +1,4 @@
-"""The platform's call servers: an actor for each, with its lanes."""
+"""The platform's call servers: an actor for each, with its connections."""
 
 from __future__ import annotations
 
@@ -12,177 +12,197 @@
 from reedmount.core.clock import ZERO, whole_millis
 from reedmount.core.ports import CUT, CancelSetup, ListedServer, Release, Setup
 from reedmount.core.switch import NO_REPORT, Switch
-from reedmount.fronts.established_calls import StandingCalls
-from reedmount.fronts.server_connection import Attempt, ConnectionLimits, Data, Down, Lane, Outgoing, Up
+from reedmount.fronts.established_calls import EstablishedCalls
+from reedmount.fronts.server_connection import (
+    Attempt,
+    Connected,
+    ConnectionLimits,
+    DataReceived,
+    Disconnected,
+    Outgoing,
+    ServerConnection,
+)
 from reedmount.fronts.thin_protocol import CAUSES, ID, OUTCOMES, bye, cause_of, plain, report_of, sound, test
 from reedmount.net.connection import Address, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.framing import next_message
 from reedmount.sip.message import Message, SipError, request, response
 
-UNHEARD = timedelta(seconds=3)  # silence after which an open connection is no longer trusted
-STOPPED_SHORT = timedelta(milliseconds=250)  # no more of a message that has begun: the rest never comes
-RETIRED_FOR = timedelta(milliseconds=1500)  # a lane that is used no more still hears what was on its way
-SPARE_AFTER = timedelta(seconds=10)  # a lane of a crowded server is tried again
-FIRST_RETRY, LAST_RETRY = timedelta(milliseconds=100), timedelta(seconds=1)
-RENEWALS = 8  # tries at a connection after one that broke: some 5 s
-MOVES = 2  # how often a set-up that was not sent goes to another lane
-LANES = 8
-KEPT_PAST = 1024  # names of attempts that were given up, for each server
+SILENCE_TIMEOUT = timedelta(seconds=3)  # after this, a connection with a hung set-up is retired
+PARTIAL_MESSAGE_TIMEOUT = timedelta(milliseconds=250)  # without further bytes of a partly received message
+RETIRED_LINGER = timedelta(milliseconds=1500)  # a retired connection still receives what is in transit
+LIMIT_RESET_AFTER = timedelta(seconds=10)  # a server that accepted no more connections is tried again
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = timedelta(milliseconds=100), timedelta(seconds=1)
+MAX_REPLACEMENT_ATTEMPTS = 8  # dials to replace a broken connection: some 5 s in all
+MAX_REASSIGNMENTS = 2  # of an unsent set-up to another connection
+MAX_CONNECTIONS_PER_SERVER = 8
+MAX_REMEMBERED_CALLS = 1024  # abandoned attempts, and releases that wait, for each server
 START_LINES = (b"SIP/2.0 ", b"INVITE ", b"ACK ", b"BYE ", b"CANCEL ", b"OPTIONS ", b"NOTIFY ")
 
 
-Word = Setup | CancelSetup | Release | ListedServer | Up | Data | Down
+ServerEvent = Setup | CancelSetup | Release | ListedServer | Connected | DataReceived | Disconnected
 
 
 class CallServer:
-    """The actor of one call server: its lanes, what is queued for it and what is out there."""
+    """The actor of one call server: its connections, what is queued for it and its open attempts."""
 
     def __init__(
-        self, loop: Loop, switch: Switch, entry: ListedServer, side: CallServers, lanes: int = LANES
+        self,
+        loop: Loop,
+        switch: Switch,
+        entry: ListedServer,
+        call_servers: CallServers,
+        max_connections: int = MAX_CONNECTIONS_PER_SERVER,
     ) -> None:
         self.loop, self._switch, self._entry = loop, switch, entry
-        self._side, self.limits = side, side.limits
-        self._actor: Actor[Word] = Actor(loop, self._handle)
+        self._call_servers, self.limits = call_servers, call_servers.limits
+        self._actor: Actor[ServerEvent] = Actor(loop, self._handle)
         self.post = self._actor.post
-        self._lanes: list[Lane] = []
-        self._retired: list[Lane] = []  # no longer trusted; set-ups may still be open there
-        self._most, self._room = lanes, lanes
+        self._connections: list[ServerConnection] = []
+        self._retired: list[ServerConnection] = []  # get no new set-ups; some may still be open there
+        self._max_connections, self._connection_limit = max_connections, max_connections
         self._attempts: dict[str, Attempt] = {}
-        self._past: dict[str, None] = {}  # attempts that were given up: a late answer is released
-        self._late_byes: deque[Outgoing] = deque(maxlen=KEPT_PAST)  # for which no connection was to be had
-        self.standing = StandingCalls(self)
+        self._abandoned: dict[str, None] = {}  # attempts given up: a late answer is released
+        # Releases that wait for a connection.
+        self._pending_releases: deque[Outgoing] = deque(maxlen=MAX_REMEMBERED_CALLS)
+        self.established_calls = EstablishedCalls(self)
         self._answered_sent_at: datetime | None = None  # when the latest set-up that was answered was sent
-        self._retry = FIRST_RETRY
-        self._retrying = False
-        self._owed: datetime | None = None  # since a connection broke on which a release may have been
-        self._renewing, self._renewals = False, 0
-        self._met = False  # a connection has come up: what the server had to say from before a start has come
+        self._retry_delay = FIRST_RETRY_DELAY
+        self._retry_scheduled = False
+        # When a connection broke on which a release may have been in transit.
+        self._releases_at_risk_since: datetime | None = None
+        self._replacement_scheduled, self._replacement_attempts = False, 0
+        # Whether a connection has come up: the server resends there what dates from before our start.
+        self._has_connected = False
         if entry.serving:
-            self._dial()  # a state of its lines, and releases from before a restart, come first on it
+            self._dial()  # it first sends the state of its lines, and releases from before our restart
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address at which the call server listens."""
         return self._entry.address
 
     @property
-    def connections(self) -> int:
-        """How many descriptors it holds."""
-        return len(self._lanes) + len(self._retired)
-
-    def test_holders(self) -> None:
-        """Test it, where calls stand there: the process ends, and would not hear of them any more."""
-        if self.standing:
-            self.standing.test_now()
-
-    def lose_unheard(self) -> None:
-        """The process ends: calls at a server that is silent are over, since nobody else knows of them."""
-        if self.standing.server.first_probe_at is not None:
-            self.standing.lose("its server is silent and the process ends")
-
-    # --- what its standing calls ask for ---
-
-    def open_lanes(self) -> list[Lane]:
-        """The connections that are up, those that are used no more as well."""
-        return [lane for lane in (*self._lanes, *self._retired) if lane.connection.connected]
+    def connection_count(self) -> int:
+        """How many sockets this call server uses, retired connections included."""
+        return len(self._connections) + len(self._retired)
+
+    def probe_if_calls_established(self) -> None:
+        """Probe the call server if it has established calls, since the process is shutting down."""
+        if self.established_calls:
+            self.established_calls.probe_now()
+
+    def drop_if_silent(self) -> None:
+        """At shutdown, drop the calls of a server that left its probe unanswered: nobody else tracks them."""
+        if self.established_calls.server.first_probe_at is not None:
+            self.established_calls.drop_all("its server is silent and the process ends")
+
+    # --- CallServerPort, used by EstablishedCalls ---
+
+    def open_connections(self) -> list[ServerConnection]:
+        """The connections that are up, retired ones included."""
+        return [
+            connection
+            for connection in (*self._connections, *self._retired)
+            if connection.transport.connected
+        ]
 
-    def test(self, lane: Lane) -> None:
-        """Send a test: what comes back, whatever it is, shows that the connection works."""
-        lane.queue(Outgoing(test(), "out.server.OPTIONS", test=True))
+    def send_probe(self, connection: ServerConnection) -> None:
+        """Send a probe; any message that comes back shows that the connection works."""
+        connection.queue(Outgoing(test(), "out.server.OPTIONS", is_probe=True))
 
-    def give_up(self, lane: Lane) -> None:
-        """Close a connection that is silent while others are not: what is owed comes on the next one."""
+    def close_silent(self, connection: ServerConnection) -> None:
+        """Close a connection that alone is silent; the server resends its releases on the next one."""
         COUNTERS.add("server.lane_silent")
-        self.loop.trace("server.connection_silent", server=self._entry.server, lane=lane.number)
-        lane.connection.close()
-        self._down(lane, EndReason.RESET)
+        self.loop.trace("server.connection_silent", server=self._entry.server, lane=connection.number)
+        connection.transport.close()
+        self._on_disconnected(connection, EndReason.RESET)
 
     def reconnect(self) -> None:
-        """Nothing comes on any connection: set-ups go there no more, and a new one is tried."""
+        """No connection receives anything: retire all of them and dial a new one."""
         COUNTERS.add("server.unheard")
-        silence = self.loop.clock.now() - self.standing.server.last_received_at
-        self.loop.trace("server.unheard", server=self._entry.server, standing=len(self.standing),
+        silence = self.loop.clock.now() - self.established_calls.server.last_received_at
+        self.loop.trace("server.unheard", server=self._entry.server, standing=len(self.established_calls),
                         silent_ms=whole_millis(silence))  # fmt: skip
-        for lane in [lane for lane in self._lanes if lane.connection.connected]:
-            self._retire(lane, "its server is silent")
-        if not self._lanes and self._side.may_widen():
+        for connection in [connection for connection in self._connections if connection.transport.connected]:
+            self._retire(connection, "its server is silent")
+        if not self._connections and self._call_servers.may_open_connection():
             self._dial()
 
-    def lose(self, calls: Iterable[tuple[str, Lane | None]], reason: str) -> None:
-        """Calls of ours count as over; should their server still have them, it is told."""
-        for name, lane in calls:
+    def calls_lost(self, calls: Iterable[tuple[str, ServerConnection | None]], reason: str) -> None:
+        """Report calls as lost, and release them at their server in case it still has them."""
+        for name, connection in calls:
             self._switch.call_lost(name, self._entry.server, reason)
             item = _release(name, CUT)
-            if lane is not None and lane.open:
-                lane.queue(item)
+            if connection is not None and connection.open:
+                connection.queue(item)
             else:
-                self._late_byes.append(item)
+                self._pending_releases.append(item)
 
-    # --- what is to be done ---
+    # --- events ---
 
     @property
     def _needs_connection(self) -> bool:
-        """Whether calls stand there, releases wait here, or some from before our start may wait there."""
-        unmet = self._entry.serving and not self._met
-        return bool(self.standing or self._late_byes) or unmet
+        """Whether calls are established, releases wait here, or some from before our start may wait there."""
+        awaits_first = self._entry.serving and not self._has_connected
+        return bool(self.established_calls or self._pending_releases) or awaits_first
 
-    def _handle(self, word: Word) -> None:
-        match word:
+    def _handle(self, event: ServerEvent) -> None:
+        match event:
             case Setup():
-                self._setup(word)
+                self._start_setup(event)
             case CancelSetup(name, number):
                 attempt = self._attempts.get(name)
                 if attempt is not None and attempt.setup.attempt == number:
-                    self._call_off(attempt, i.Outcome.CANCELLED)
+                    self._cancel(attempt, i.Outcome.CANCELLED)
             case Release(name, cause):
                 self._release(name, cause)
             case ListedServer():
-                self._news(word)
-            case Up(lane):
-                self._up(lane)
-            case Data(lane):
-                self._read(lane)
-            case Down(lane, how):
-                self._down(lane, how)
+                self._update_entry(event)
+            case Connected(connection):
+                self._on_connected(connection)
+            case DataReceived(connection):
+                self._read(connection)
+            case Disconnected(connection, how):
+                self._on_disconnected(connection, how)
 
     # --- the list ---
 
-    def _news(self, entry: ListedServer) -> None:
+    def _update_entry(self, entry: ListedServer) -> None:
         known, self._entry = self._entry, entry
         if entry.started is not None and (known.started is None or entry.started > known.started):
-            # A restart behind the same name: what stood at the old process is gone with it.
+            # The process restarted under the same name: calls established at the old one are lost.
             self._switch.server_lost(entry.server, "its process was restarted", entry.started)
         if entry.serving:
             return
         for attempt in [attempt for attempt in self._attempts.values() if attempt.sent_at is None]:
-            if attempt.lane is not None:
-                attempt.lane.unsent(attempt)
-            self._end(attempt, i.Outcome.NOT_SENT)
+            if attempt.connection is not None:
+                attempt.connection.withdraw(attempt)
+            self._end_attempt(attempt, i.Outcome.NOT_SENT)
         if entry.removed:
             self._switch.server_lost(entry.server, "it was removed from the list")
-            self._abandon()
+            self._discard_connections()
             self._actor.stop()
 
-    def _abandon(self) -> None:
-        """The machine is gone: nothing will be heard on its connections."""
-        lanes, self._lanes, self._retired = [*self._lanes, *self._retired], [], []
-        self.standing.clear()
-        self._late_byes.clear()
-        for lane in lanes:
-            lane.connection.close()
-            lane.outbox.clear()
+    def _discard_connections(self) -> None:
+        """The server was removed: close its connections and end its attempts, as nothing more will arrive."""
+        connections, self._connections, self._retired = [*self._connections, *self._retired], [], []
+        self.established_calls.clear()
+        self._pending_releases.clear()
+        for connection in connections:
+            connection.transport.close()
+            connection.outbox.clear()
         for attempt in list(self._attempts.values()):
-            self._end(attempt, i.Outcome.RESET)
+            self._end_attempt(attempt, i.Outcome.RESET)
 
-    # --- what goes out ---
+    # --- outgoing messages ---
 
-    def _setup(self, setup: Setup) -> None:
+    def _start_setup(self, setup: Setup) -> None:
         timer = self.loop.call_later(setup.give_up, lambda: self._expire(setup))
         attempt = Attempt(setup, timer, f"sip:{setup.number}@net")
         self._attempts[setup.name] = attempt
         if not self._entry.serving:
-            self._end(attempt, i.Outcome.NOT_SENT)
+            self._end_attempt(attempt, i.Outcome.NOT_SENT)
             return
         headers = [
             ("Via", attempt.via),
@@ -192,105 +212,111 @@
             ("X-Timer-Ms", str(whole_millis(setup.give_up))),
         ]
         data = request("INVITE", attempt.uri, headers, setup.description).encode()
-        self._doubt()
-        self._place(Outgoing(data, "out.server.INVITE", attempt=attempt), attempt)
+        self._retire_hung()
+        self._assign(Outgoing(data, "out.server.INVITE", attempt=attempt), attempt)
 
-    def _place(self, item: Outgoing, attempt: Attempt) -> None:
-        """Give a set-up a lane: a free one, else a new one, else the one with the fewest open."""
+    def _assign(self, item: Outgoing, attempt: Attempt) -> None:
+        """Assign a set-up to a free connection, else a new one, else the one with the fewest attempts."""
         name = attempt.setup.name
-        for stale in [lane for lane in self._lanes if lane.stale]:
-            self._retire(stale, "its server may close it as idle")
-        able = [lane for lane in self._lanes if name not in lane.answered]
-        free = (lane for lane in able if lane.free)
-        lane = max(free, key=lambda lane: lane.connection.last_received_at, default=None)
-        if lane is None and len(self._lanes) < self._room + (not able):
-            lane = self._dial() if not able or self._side.may_widen() else None
-        if lane is None:
-            lane = min(
-                able, key=lambda lane: (not lane.connection.connected, len(lane.attempts)), default=None
+        for expiring in [connection for connection in self._connections if connection.stale]:
+            self._retire(expiring, "its server may close it as idle")
+        able = [connection for connection in self._connections if name not in connection.answered]
+        free = (connection for connection in able if connection.free)
+        connection = max(free, key=lambda connection: connection.transport.last_received_at, default=None)
+        if connection is None and len(self._connections) < self._connection_limit + (not able):
+            connection = self._dial() if not able or self._call_servers.may_open_connection() else None
+        if connection is None:
+            connection = min(
+                able,
+                key=lambda connection: (not connection.transport.connected, len(connection.attempts)),
+                default=None,
             )
-        if lane is None:
-            self._end(attempt, i.Outcome.UNREACHABLE)
+        if connection is None:
+            self._end_attempt(attempt, i.Outcome.UNREACHABLE)
             return
-        attempt.lane = lane
-        lane.attempts[name] = attempt
-        lane.queue(item)
-
-    def _doubt(self) -> None:
-        """A lane on which a set-up hangs and nothing comes may be to a machine that has vanished."""
-        since = self.loop.clock.now() - UNHEARD
-        for lane in [
-            lane
-            for lane in self._lanes
-            if lane.connection.connected and lane.connection.last_received_at < since
+        attempt.connection = connection
+        connection.attempts[name] = attempt
+        connection.queue(item)
+
+    def _retire_hung(self) -> None:
+        """Retire connections with a hung set-up that receive nothing: the machine may have vanished."""
+        since = self.loop.clock.now() - SILENCE_TIMEOUT
+        for connection in [
+            connection
+            for connection in self._connections
+            if connection.transport.connected and connection.transport.last_received_at < since
         ]:
-            if any(attempt.sent_at and attempt.sent_at < since for attempt in lane.attempts.values()):
+            if any(attempt.sent_at and attempt.sent_at < since for attempt in connection.attempts.values()):
                 COUNTERS.add("server.silent")
-                self._retire(lane, "a set-up hangs there and nothing comes")
+                self._retire(connection, "a set-up hangs and nothing is received")
 
-    def _retire(self, lane: Lane, reason: str) -> None:
-        """Send no more set-ups there; close it once all is ended and what was on its way is heard."""
-        if lane in self._lanes:
+    def _retire(self, connection: ServerConnection, reason: str) -> None:
+        """Send no more set-ups there; close it once nothing is open and what was in transit has been read."""
+        if connection in self._connections:
             COUNTERS.add("server.retired")
-            self.loop.trace("server.connection_retired", server=self._entry.server, lane=lane.number,
+            self.loop.trace("server.connection_retired", server=self._entry.server, lane=connection.number,
                             reason=f'"{reason}"')  # fmt: skip
-            self._lanes.remove(lane)
-            self._retired.append(lane)
-            self.loop.call_later(RETIRED_FOR, lambda: self._close_retired(lane))
+            self._connections.remove(connection)
+            self._retired.append(connection)
+            self.loop.call_later(RETIRED_LINGER, lambda: self._close_retired(connection))
 
-    def _close_retired(self, lane: Lane, finished: bool = False) -> None:
-        """First only say that no more comes: a release may be on its way, and closing would lose it."""
-        if lane not in self._retired:
+    def _close_retired(self, connection: ServerConnection, finished: bool = False) -> None:
+        """First shut down only our sending side: a full close would lose a release in transit to us."""
+        if connection not in self._retired:
             return
-        used = lane.attempts or lane.outbox or self.standing.on(lane)
+        used = connection.attempts or connection.outbox or self.established_calls.uses(connection)
         if not finished and not used:
-            lane.connection.finish_writing()
+            connection.transport.finish_writing()
         if not finished or used:
-            self.loop.call_later(RETIRED_FOR, lambda: self._close_retired(lane, not used))
+            self.loop.call_later(RETIRED_LINGER, lambda: self._close_retired(connection, not used))
             return
-        self._retired.remove(lane)
-        lane.connection.close()
+        self._retired.remove(connection)
+        connection.transport.close()
 
     def _expire(self, setup: Setup) -> None:
         attempt = self._attempts.get(setup.name)
         if attempt is not None and attempt.setup is setup:
-            self._call_off(attempt, i.Outcome.TIMED_OUT)
+            self._cancel(attempt, i.Outcome.TIMED_OUT)
 
-    def _call_off(self, attempt: Attempt, outcome: i.Outcome) -> None:
-        """Write the CANCEL; the attempt is out until that is done, or its time is up."""
-        lane = attempt.lane
-        if lane is None or lane.unsent(attempt) is not None:
-            self._end(attempt, outcome)
+    def _cancel(self, attempt: Attempt, outcome: i.Outcome) -> None:
+        """Write the CANCEL; the attempt stays open until that is written or the attempt times out."""
+        connection = attempt.connection
+        if connection is None or connection.withdraw(attempt) is not None:
+            self._end_attempt(attempt, outcome)
             return
         if not attempt.ending:
             attempt.ending = True
             data = plain("CANCEL", attempt.uri, attempt.setup.name, attempt.via)
-            lane.queue(Outgoing(data, "out.server.CANCEL", lambda: self._end(attempt, outcome)), first=True)
-            self._judge(lane, attempt, outcome)
+            connection.queue(
+                Outgoing(data, "out.server.CANCEL", lambda: self._end_attempt(attempt, outcome)),
+                at_front=True,
+            )
+            self._retire_unanswered(connection, attempt, outcome)
         if outcome is i.Outcome.TIMED_OUT:
-            self._end(attempt, outcome)
+            self._end_attempt(attempt, outcome)
 
-    def _judge(self, lane: Lane, attempt: Attempt, outcome: i.Outcome) -> None:
-        """A lane whose answer never came in its time, or was overtaken by others, is of no further use.
+    def _retire_unanswered(self, connection: ServerConnection, attempt: Attempt, outcome: i.Outcome) -> None:
+        """Retire a connection whose answer timed out or was overtaken by answers to later set-ups.
 
-        It stays open where an answer stopped short or never came: set-ups sent there next would hang as well.
+        A connection stays open after an answer that was cut short or never sent, and set-ups sent there next
+        would hang as well.
         """
         sent, answered = attempt.sent_at, self._answered_sent_at
         overtaken = sent is not None and answered is not None and answered > sent
         if overtaken or outcome is i.Outcome.TIMED_OUT:
-            self._retire(lane, "an answer never came")
-            self.standing.doubt(lane)
+            self._retire(connection, "an answer never came")
+            self.established_calls.probe_suspect(connection)
 
-    def _end(self, attempt: Attempt, outcome: i.Outcome, message: Message | None = None) -> None:
+    def _end_attempt(self, attempt: Attempt, outcome: i.Outcome, message: Message | None = None) -> None:
         name = attempt.setup.name
         if self._attempts.get(name) is not attempt:
             return
         del self._attempts[name]
-        self._let_go(attempt)
+        self._free_connection(attempt)
         if message is None and attempt.sent_at is not None:
-            self._past[name] = None
-            if len(self._past) > KEPT_PAST:
-                del self._past[next(iter(self._past))]
+            self._abandoned[name] = None
+            if len(self._abandoned) > MAX_REMEMBERED_CALLS:
+                del self._abandoned[next(iter(self._abandoned))]
         cause, report = i.Cause.NONE, NO_REPORT
         if message is not None:
             note = message.get("X-Diagnosis") or ""
@@ -298,343 +324,371 @@
             report = report_of(message)
         self._switch.attempt_ended(name, attempt.setup.attempt, outcome, cause, report)
 
-    def _let_go(self, attempt: Attempt) -> None:
-        """Nothing more is open for it; its lane may take one that waits for a connection to come up."""
+    def _free_connection(self, attempt: Attempt) -> None:
+        """Remove an ended attempt; its free connection takes a set-up that waits for another to come up."""
         attempt.timer.cancel()
-        lane = attempt.lane
-        if lane is None:
+        connection = attempt.connection
+        if connection is None:
             return
-        lane.attempts.pop(attempt.setup.name, None)
-        if lane in self._lanes and lane.free:
-            for other in self._lanes:
+        connection.attempts.pop(attempt.setup.name, None)
+        if connection in self._connections and connection.free:
+            for other in self._connections:
                 waiting = next((a for a in other.attempts.values() if a.sent_at is None), None)
-                if waiting is not None and other is not lane and waiting.setup.name not in lane.answered:
-                    item = other.unsent(waiting)
+                if (
+                    waiting is not None
+                    and other is not connection
+                    and waiting.setup.name not in connection.answered
+                ):
+                    item = other.withdraw(waiting)
                     if item is not None:
-                        waiting.lane = lane
-                        lane.attempts[waiting.setup.name] = waiting
-                        lane.queue(item)
+                        waiting.connection = connection
+                        connection.attempts[waiting.setup.name] = waiting
+                        connection.queue(item)
                         return
 
     def _release(self, name: str, cause: int) -> None:
-        lane = self.standing.pop(name)
-        self._say(_release(name, cause), lane)
-
-    def _say(self, item: Outgoing, lane: Lane | None = None) -> None:
-        """Send what concerns a call that stands on its lane, else on any."""
-        if lane is None or lane not in self._lanes or lane.stale:
-            up = [lane for lane in self._lanes if lane.connection.connected and not lane.stale]
-            able = up or [lane for lane in self._lanes if not lane.stale]
-            lane = min(able, key=lambda lane: len(lane.attempts), default=None)
-        if lane is None and not self._retrying:
-            lane = self._dial()
-        if lane is not None:
-            lane.queue(item)
+        connection = self.established_calls.pop(name)
+        self._send(_release(name, cause), connection)
+
+    def _send(self, item: Outgoing, connection: ServerConnection | None = None) -> None:
+        """Send a message of an established call on the call's connection, else on any."""
+        if connection is None or connection not in self._connections or connection.stale:
+            up = [
+                connection
+                for connection in self._connections
+                if connection.transport.connected and not connection.stale
+            ]
+            able = up or [connection for connection in self._connections if not connection.stale]
+            connection = min(able, key=lambda connection: len(connection.attempts), default=None)
+        if connection is None and not self._retry_scheduled:
+            connection = self._dial()
+        if connection is not None:
+            connection.queue(item)
         else:
-            self._late_byes.append(item)
+            self._pending_releases.append(item)
 
     # --- connections ---
 
-    def _dial(self) -> Lane | None:
+    def _dial(self) -> ServerConnection | None:
         if self._entry.removed:
             return None
         COUNTERS.add("server.connects")
-        self.loop.trace("server.dial", server=self._entry.server, held=self.connections)
+        self.loop.trace("server.dial", server=self._entry.server, held=self.connection_count)
         try:
-            lane = Lane(self)
+            connection = ServerConnection(self)
         except OSError as error:
             COUNTERS.add("server.no_socket")
             log(f"{self._entry.server}: {error}")
             return None
-        self._lanes.append(lane)
-        late, self._late_byes = self._late_byes, deque(maxlen=KEPT_PAST)
+        self._connections.append(connection)
+        late, self._pending_releases = self._pending_releases, deque(maxlen=MAX_REMEMBERED_CALLS)
         for item in late:
-            lane.queue(item)
-        return lane
-
-    def _up(self, lane: Lane) -> None:
-        self.standing.opened(lane)
-        self._retry = FIRST_RETRY
-        self._met = True
-        if self._owed is not None and lane.connection.opened_at >= self._owed:
-            self._owed = None
-        if len(self._lanes) > self._room:
-            spare = next((other for other in self._lanes if other.free and other is not lane), None)
+            connection.queue(item)
+        return connection
+
+    def _on_connected(self, connection: ServerConnection) -> None:
+        self.established_calls.connection_opened(connection)
+        self._retry_delay = FIRST_RETRY_DELAY
+        self._has_connected = True
+        if (
+            self._releases_at_risk_since is not None
+            and connection.transport.opened_at >= self._releases_at_risk_since
+        ):
+            self._releases_at_risk_since = None
+        if len(self._connections) > self._connection_limit:
+            spare = next(
+                (other for other in self._connections if other.free and other is not connection), None
+            )
             if spare is not None:
                 self._retire(spare, "more than its server accepts")
-        if lane.connection.idle:
-            lane.finish_write()
-            lane.pump()
+        if connection.transport.idle:
+            connection.finish_write()
+            connection.pump()
 
-    def _down(self, lane: Lane, how: EndReason) -> None:
-        """A connection has ended: what was open on it is reset, what was not sent goes another way."""
-        known = lane in self._lanes
+    def _on_disconnected(self, connection: ServerConnection, how: EndReason) -> None:
+        """A connection has ended: open attempts are reset, what was not sent goes to other connections."""
+        known = connection in self._connections
         if known:
-            self._lanes.remove(lane)
-        elif lane in self._retired:
-            self._retired.remove(lane)
+            self._connections.remove(connection)
+        elif connection in self._retired:
+            self._retired.remove(connection)
         else:
             return
-        never = how in (EndReason.REFUSED, EndReason.NEVER_UP)
-        # One closed as soon as it is up, by a server that holds all it accepts, is no connection either.
-        brief = self.loop.clock.now() - lane.connection.opened_at < FIRST_RETRY
-        others = any(other.connection.connected for other in self._lanes)
-        self.standing.ended(lane)
-        if known and (never or brief) and others:
-            self._room = max(1, len(self._lanes))  # it accepts no more just now
-            self.loop.call_later(SPARE_AFTER, self._widen)
-        if how is EndReason.REFUSED and known and not self.open_lanes() and self.standing:
-            # Its process is gone, and with it the calls that stood there.
-            self.standing.clear()
+        unreachable = how in (EndReason.REFUSED, EndReason.NEVER_UP)
+        # A server at its limit may accept a connection and close it at once; that counts the same.
+        brief = self.loop.clock.now() - connection.transport.opened_at < FIRST_RETRY_DELAY
+        others = any(other.transport.connected for other in self._connections)
+        self.established_calls.connection_lost(connection)
+        if known and (unreachable or brief) and others:
+            self._connection_limit = max(1, len(self._connections))  # it accepts no more at present
+            self.loop.call_later(LIMIT_RESET_AFTER, self._reset_limit)
+        if how is EndReason.REFUSED and known and not self.open_connections() and self.established_calls:
+            # The server process has ended, and its established calls with it.
+            self.established_calls.clear()
             self._switch.server_lost(self._entry.server, "it refuses connections")
-        self.loop.trace("server.connection_ended", server=self._entry.server, lane=lane.number,
-                        how=f'"{how.value}"', open=len(lane.attempts), retired=not known)  # fmt: skip
-        lane.finish_write()
-        for attempt in [attempt for attempt in lane.attempts.values() if attempt.sent_at is not None]:
-            self._end(attempt, i.Outcome.RESET)
-        self._late_byes.extend(lane.lost_releases())
-        self._unload(lane, never and not others)
-        if never or brief:
-            if brief and self.standing:
-                self._owed = self.loop.clock.now()
-            if not self._lanes and self._needs_connection:
-                self._connect_later()
-            elif self._owed is not None:
-                self._renew_later()
-        elif how is not EndReason.CLOSED or known and not self._lanes:
-            self._owed, self._renewals = self.loop.clock.now() if self.standing else None, 0
-            self._renew()  # of several that were idle for too long, those closed are not opened again
-
-    def _renew(self) -> None:
-        """Releases that were on their way on a connection that broke come again on the next that opens.
-
-        That one may come up late, or never, or break as well: there is another until one has lived.
+        self.loop.trace("server.connection_ended", server=self._entry.server, lane=connection.number,
+                        how=f'"{how.value}"', open=len(connection.attempts), retired=not known)  # fmt: skip
+        connection.finish_write()
+        for attempt in [attempt for attempt in connection.attempts.values() if attempt.sent_at is not None]:
+            self._end_attempt(attempt, i.Outcome.RESET)
+        self._pending_releases.extend(connection.releases_at_risk())
+        self._requeue(connection, unreachable and not others)
+        if unreachable or brief:
+            if brief and self.established_calls:
+                self._releases_at_risk_since = self.loop.clock.now()
+            if not self._connections and self._needs_connection:
+                self._schedule_reconnect()
+            elif self._releases_at_risk_since is not None:
+                self._schedule_replacement()
+        elif how is not EndReason.CLOSED or known and not self._connections:
+            self._releases_at_risk_since, self._replacement_attempts = (
+                self.loop.clock.now() if self.established_calls else None,
+                0,
+            )
+            # Of several connections that were idle for too long, those closed are not opened again.
+            self._replace_connection()
+
+    def _replace_connection(self) -> None:
+        """Dial a new connection: the server resends there the releases that were in transit on a broken one.
+
+        The new one may come up late, never, or break as well, so dialling is repeated until one stays up.
         """
-        if not (self._entry.serving or self.standing or self._late_byes):
+        if not (self._entry.serving or self.established_calls or self._pending_releases):
             return
-        if len(self._lanes) > self._room or self._lanes and not self._side.may_widen():
-            self._renew_later()
+        if (
+            len(self._connections) > self._connection_limit
+            or self._connections
+            and not self._call_servers.may_open_connection()
+        ):
+            self._schedule_replacement()
         else:
             self._dial()
 
-    def _renew_later(self) -> None:
-        if not self._renewing and self._renewals < RENEWALS:
-            self._renewing = True
-            self._renewals += 1
-            self.loop.call_later(self._retry, self._renew_again)
-            self._retry = min(2 * self._retry, LAST_RETRY)
-
-    def _renew_again(self) -> None:
-        self._renewing = False
-        if self._owed is not None:
-            self._renew()
-
-    def _unload(self, lane: Lane, unreachable: bool = False) -> None:
-        """Take what waits on a lane that is no more to another; a refused connection proves that none ran."""
-        items, lane.outbox = list(lane.outbox), deque()
+    def _schedule_replacement(self) -> None:
+        if not self._replacement_scheduled and self._replacement_attempts < MAX_REPLACEMENT_ATTEMPTS:
+            self._replacement_scheduled = True
+            self._replacement_attempts += 1
+            self.loop.call_later(self._retry_delay, self._retry_replacement)
+            self._retry_delay = min(2 * self._retry_delay, MAX_RETRY_DELAY)
+
+    def _retry_replacement(self) -> None:
+        self._replacement_scheduled = False
+        if self._releases_at_risk_since is not None:
+            self._replace_connection()
+
+    def _requeue(self, connection: ServerConnection, unreachable: bool = False) -> None:
+        """Move what is queued on an ended connection to others; after a refused one no server was running."""
+        items, connection.outbox = list(connection.outbox), deque()
         for item in items:
             attempt = item.attempt
-            if item.test:
+            if item.is_probe:
                 continue
             if attempt is None:
-                if item.written is None:
-                    self._late_byes.append(item)  # a CANCEL has nothing to stop any more
+                if item.on_written is None:
+                    self._pending_releases.append(item)  # a CANCEL has nothing left to stop
                 else:
-                    item.written()
+                    item.on_written()
                 continue
-            lane.attempts.pop(attempt.setup.name, None)
-            attempt.moves += 1
-            if unreachable or attempt.moves > MOVES:
-                self._end(attempt, i.Outcome.UNREACHABLE)
+            connection.attempts.pop(attempt.setup.name, None)
+            attempt.reassignments += 1
+            if unreachable or attempt.reassignments > MAX_REASSIGNMENTS:
+                self._end_attempt(attempt, i.Outcome.UNREACHABLE)
             else:
-                self._place(item, attempt)
-        if self._late_byes and self._lanes:
-            late, self._late_byes = self._late_byes, deque(maxlen=KEPT_PAST)
+                self._assign(item, attempt)
+        if self._pending_releases and self._connections:
+            late, self._pending_releases = self._pending_releases, deque(maxlen=MAX_REMEMBERED_CALLS)
             for item in late:
-                self._say(item)
+                self._send(item)
 
-    def _widen(self) -> None:
-        self._room = self._most
+    def _reset_limit(self) -> None:
+        self._connection_limit = self._max_connections
 
-    def _connect_later(self) -> None:
-        """Calls stand there, or releases wait: come back, ever more slowly."""
-        if self._retrying:
+    def _schedule_reconnect(self) -> None:
+        """Dial again later, with exponential back-off, for established calls or waiting releases."""
+        if self._retry_scheduled:
             return
-        self._retrying = True
-        self.loop.call_later(self._retry, self._again)
-        self._retry = min(2 * self._retry, LAST_RETRY)
+        self._retry_scheduled = True
+        self.loop.call_later(self._retry_delay, self._retry_connect)
+        self._retry_delay = min(2 * self._retry_delay, MAX_RETRY_DELAY)
 
-    def _again(self) -> None:
-        self._retrying = False
-        if self._needs_connection and not self._lanes:
+    def _retry_connect(self) -> None:
+        self._retry_scheduled = False
+        if self._needs_connection and not self._connections:
             self._dial()
 
-    # --- what comes in ---
+    # --- incoming messages ---
 
-    def _read(self, lane: Lane) -> None:
-        self.standing.heard(lane)
-        ring = lane.connection.incoming
-        while not lane.connection.ended:
+    def _read(self, connection: ServerConnection) -> None:
+        self.established_calls.received(connection)
+        ring = connection.transport.incoming
+        while not connection.transport.ended:
             try:
                 message = next_message(ring)
                 if message is None:
                     break
                 if message.body and len(ring) and not _may_begin(ring.peek(16)):
-                    # Its length does not fit: what is left over belongs to it, or part of it to the next.
-                    raise SipError(400, "more than its length says")
-                self._take(lane, message)
+                    # A wrong Content-Length: the rest belongs to this message, or part of it to the next.
+                    raise SipError(400, "the message is longer than its Content-Length")
+                self._dispatch(connection, message)
             except SipError as error:
-                self._break(lane, str(error))
+                self._close_malformed(connection, str(error))
                 return
-        if len(ring) and not lane.partial:
-            lane.partial = True
-            self.loop.call_later(STOPPED_SHORT, lambda: self._stopped_short(lane))
-
-    def _stopped_short(self, lane: Lane) -> None:
-        """Look whether more has come of what has begun; one timer, however many pieces that is."""
-        lane.partial = False
-        if lane.connection.ended or not len(lane.connection.incoming):
+        if len(ring) and not connection.partial:
+            connection.partial = True
+            self.loop.call_later(PARTIAL_MESSAGE_TIMEOUT, lambda: self._check_partial(connection))
+
+    def _check_partial(self, connection: ServerConnection) -> None:
+        """Check whether a partly received message has grown; one timer serves any number of segments."""
+        connection.partial = False
+        if connection.transport.ended or not len(connection.transport.incoming):
             return
-        left = lane.connection.last_received_at + STOPPED_SHORT - self.loop.clock.now()
+        left = connection.transport.last_received_at + PARTIAL_MESSAGE_TIMEOUT - self.loop.clock.now()
         if left <= ZERO:
-            self._break(lane, "a message stopped short")
+            self._close_malformed(connection, "a message was cut short")
         else:
-            lane.partial = True
-            self.loop.call_later(left, lambda: self._stopped_short(lane))
+            connection.partial = True
+            self.loop.call_later(left, lambda: self._check_partial(connection))
 
-    def _break(self, lane: Lane, why: str) -> None:
-        """What comes there makes no sense any more."""
+    def _close_malformed(self, connection: ServerConnection, reason: str) -> None:
+        """Close a connection whose input cannot be parsed any more."""
         COUNTERS.add("in.server.spoilt")
-        log(f"{self._entry.server}: {why}", kind="spoilt")
-        lane.connection.close()
-        self._down(lane, EndReason.RESET)
+        log(f"{self._entry.server}: {reason}", kind="spoilt")
+        connection.transport.close()
+        self._on_disconnected(connection, EndReason.RESET)
 
-    def _take(self, lane: Lane, message: Message) -> None:
+    def _dispatch(self, connection: ServerConnection, message: Message) -> None:
         if not message.is_request:
             if message.cseq[1] == "BYE":
-                lane.releases.pop(message.call_id, None)
+                connection.releases.pop(message.call_id, None)
             if message.cseq[1] == "INVITE" and message.status >= 200:
-                self._answer(lane, message)
+                self._handle_answer(connection, message)
             return
         COUNTERS.add(f"in.server.{message.method if message.method in ('BYE', 'NOTIFY') else 'other'}")
         if message.method == "NOTIFY":
             report = report_of(message)
             if report is not NO_REPORT:
                 self._switch.load_reported(self._entry.server, report)
-                self.standing.reported(report)
+                self.established_calls.check_report(report)
         elif message.method == "BYE":
             name = message.call_id
             if ID.fullmatch(name):
-                self.standing.pop(name)
+                self.established_calls.pop(name)
                 self._switch.server_released(name, cause_of(message), report_of(message), self._entry.server)
-            if not self._side.has_untold_release(name):
-                lane.connection.send(response(message, 200).encode())
+            if not self._call_servers.has_untold_release(name):
+                connection.transport.send(response(message, 200).encode())
         elif message.method != "ACK":
-            lane.connection.send(response(message, 501).encode())
+            connection.transport.send(response(message, 501).encode())
 
-    def _answer(self, lane: Lane, message: Message) -> None:
+    def _handle_answer(self, connection: ServerConnection, message: Message) -> None:
         name = message.call_id
         attempt = self._attempts.get(name)
-        if attempt is None or not attempt.answered_by(message, lane):
-            self._unasked(lane, message, name)
+        if attempt is None or not attempt.answered_by(message, connection):
+            self._unexpected_answer(connection, message, name)
             return
         COUNTERS.add(f"in.server.{message.status}")
         if message.status < 300 and not sound(message.body):
-            raise SipError(400, "a description that is not lines of text")
-        lane.answered.append(name)
-        lane.used()
-        lane.connection.send(plain("ACK", attempt.uri, name))
+            raise SipError(400, "the description is not lines of text")
+        connection.answered.append(name)
+        connection.mark_used()
+        connection.transport.send(plain("ACK", attempt.uri, name))
         if attempt.sent_at is not None:
             self._answered_sent_at = max(attempt.sent_at, self._answered_sent_at or attempt.sent_at)
         if message.status >= 300:
-            self._end(attempt, OUTCOMES.get(message.status, i.Outcome.FAILED), message)
+            self._end_attempt(attempt, OUTCOMES.get(message.status, i.Outcome.FAILED), message)
             return
         del self._attempts[name]
-        stands = self._switch.established(name, attempt.setup.attempt, message.body)
-        if stands:
-            self.standing.add(name, lane)
-        self._let_go(attempt)
-        if not stands:
-            self._release_late(lane, name)
-
-    def _unasked(self, lane: Lane, message: Message, name: str) -> None:
-        """An answer that no attempt waits for: late, to one given up; else a copy, or one to nobody's set-up.
-
-        A late one is released: nobody has that call. A release for a copy would cut the call that stands.
+        is_established = self._switch.established(name, attempt.setup.attempt, message.body)
+        if is_established:
+            self.established_calls.add(name, connection)
+        self._free_connection(attempt)
+        if not is_established:
+            self._release_late(connection, name)
+
+    def _unexpected_answer(self, connection: ServerConnection, message: Message, name: str) -> None:
+        """An answer that no attempt waits for: late for an abandoned one, else duplicate or unsolicited.
+
+        A late one is released, since nobody has that call. Releasing a duplicate would cut the established
+        call.
         """
-        if message.status < 300 and name in self._past and name not in self._attempts and (
-            name not in self.standing
+        if message.status < 300 and name in self._abandoned and name not in self._attempts and (
+            name not in self.established_calls
         ):  # fmt: skip
-            del self._past[name]
-            self.loop.trace("answer.late", call=name, server=self._entry.server, lane=lane.number)
-            lane.connection.send(plain("ACK", f"sip:{name}@net", name))
-            self._release_late(lane, name)
+            del self._abandoned[name]
+            self.loop.trace("answer.late", call=name, server=self._entry.server, lane=connection.number)
+            connection.transport.send(plain("ACK", f"sip:{name}@net", name))
+            self._release_late(connection, name)
         else:
             COUNTERS.add("in.server.unasked")
-            self.loop.trace("answer.unasked", call=name, server=self._entry.server, lane=lane.number)
+            self.loop.trace("answer.unasked", call=name, server=self._entry.server, lane=connection.number)
 
-    def _release_late(self, lane: Lane, name: str) -> None:
+    def _release_late(self, connection: ServerConnection, name: str) -> None:
         COUNTERS.add("server.late_answers")
         if self._switch.defer_release(name, self._entry.server):
             return
-        self._say(_release(name, CUT), lane)
+        self._send(_release(name, CUT), connection)
 
 
 def _release(name: str, cause: int) -> Outgoing:
-    """A release of a call, sent again where its connection ends unconfirmed."""
+    """A release of a call, sent again if its connection ends before it is confirmed."""
     return Outgoing(bye(name, cause), "out.server.BYE", release=name)
 
 
 def _may_begin(data: bytes) -> bool:
-    """Whether bytes may be the begin of a message."""
+    """Whether bytes may be the start of a message."""
     data = data.lstrip(b"\r\n")
     return any(line.startswith(data[: len(line)]) for line in START_LINES)
 
 
 class CallServers:
-    """The server side on the platform: it keeps an actor for each call server listed."""
+    """The server side on the platform, with an actor for each listed call server."""
 
     def __init__(
-        self, loop: Loop, switch: Switch, limits: ConnectionLimits, sockets: int = LANES * LANES
+        self,
+        loop: Loop,
+        switch: Switch,
+        limits: ConnectionLimits,
+        sockets: int = MAX_CONNECTIONS_PER_SERVER * MAX_CONNECTIONS_PER_SERVER,
     ) -> None:
         self._loop, self._switch = loop, switch
         self.limits, self.sockets = limits, sockets
-        # Of a release that cannot be told before the process ends: it is not confirmed, and comes again.
+        # A release that cannot be passed on before the process ends is not confirmed: the server resends it.
         self.has_untold_release: Callable[[str], bool] = lambda name: False
         self._peers: dict[str, CallServer] = {}
 
     def servers_changed(self, entries: list[ListedServer]) -> None:
-        """Tell the actors; one that was dropped from the list stays to end its calls."""
+        """Update the actors; that of a server which left the list remains until its calls have ended."""
         for entry in entries:
             peer = self._peers.get(entry.server)
             if peer is not None:
                 peer.post(entry)
             elif not entry.removed:
-                lanes = max(1, min(LANES, self.sockets // (len(self._peers) + 2)))
-                self._peers[entry.server] = CallServer(self._loop, self._switch, entry, self, lanes)
+                max_connections = max(
+                    1, min(MAX_CONNECTIONS_PER_SERVER, self.sockets // (len(self._peers) + 2))
+                )
+                self._peers[entry.server] = CallServer(self._loop, self._switch, entry, self, max_connections)
             if entry.removed:
                 self._peers.pop(entry.server, None)
 
     def probe_servers(self) -> None:
-        """Test all call servers that hold calls."""
+        """Probe all call servers with established calls."""
         for peer in self._peers.values():
-            peer.test_holders()
+            peer.probe_if_calls_established()
 
     def drop_silent_servers(self) -> None:
-        """Count calls as over that stand at servers which have not answered a test."""
+        """Drop the established calls of servers that have not answered a probe."""
         for peer in self._peers.values():
-            peer.lose_unheard()
+            peer.drop_if_silent()
 
-    def may_widen(self) -> bool:
-        """Whether a call server that has a connection may have one more."""
-        most = self.limits.max_connections
-        if most is None or sum(peer.connections for peer in self._peers.values()) < most:
+    def may_open_connection(self) -> bool:
+        """Whether a call server that has a connection may open another."""
+        limit = self.limits.max_connections
+        if limit is None or sum(peer.connection_count for peer in self._peers.values()) < limit:
             return True
         COUNTERS.add("server.no_room")
         return False
 
     def send(self, setup: Setup) -> None:
-        """A set-up to a server that is not on the list is not sent."""
+        """Send a set-up; one to a server that is not listed is reported as not sent."""
         peer = self._peers.get(setup.server)
         if peer is None:
             self._switch.attempt_ended(setup.name, setup.attempt, i.Outcome.NOT_SENT)
@@ -642,12 +696,12 @@
             peer.post(setup)
 
     def cancel(self, name: str, attempt: int) -> None:
-        """Only the server that has the attempt acts on it."""
+        """Cancel an attempt; only the server that has it acts on this."""
         for peer in self._peers.values():
             peer.post(CancelSetup(name, attempt))
 
     def release(self, server: str | None, name: str, cause: int) -> None:
-        """Release a call at its server, or at all where it is from before a restart."""
+        """Release a call at its server, or at all of them if it dates from before a restart."""
         for known, peer in self._peers.items():
             if server in (None, known):
                 peer.post(Release(name, cause))
--- a/reedmount/fronts/established_calls.py
+++ b/reedmount/fronts/established_calls.py
@@ -1,8 +1,8 @@
-"""The calls that stand at one call server, and whether the server, or a connection to it, is still there.
+"""The calls established at one call server, and the liveness of the server and of its connections.
 
-A call server tells the end of a call by a release. One that has vanished tells nothing, and its connections
-stay open: while calls stand, connections on which nothing comes are tested, and what a silent server or a
-silent connection held is counted as over in time for its callers.
+A call server reports the end of a call by a release. One that has vanished reports nothing, and its
+connections stay open. While calls are established, silent connections are therefore probed, and the calls of
+a dead server or connection are dropped in time to notify their callers.
 """
 
 from __future__ import annotations
@@ -14,203 +14,210 @@
 
 from reedmount import interface as i
 from reedmount.core.liveness import CONNECTION_PROBE_TIMEOUT, DEAD_AFTER, Liveness
-from reedmount.fronts.server_connection import Lane
+from reedmount.fronts.server_connection import ServerConnection
 from reedmount.net.loop import Loop
 
-LOOK_EVERY = timedelta(milliseconds=250)
-OWN_STALL = 3 * LOOK_EVERY  # between two looks: we stood still, so nothing can be said of others
-RECONNECT_EVERY = timedelta(seconds=1)
-IN_REPORTS = timedelta(seconds=2)  # a call that stands for so long is among the lines in use of any report
-CONTRADICTED_FOR = timedelta(milliseconds=700)  # releases on their way may still explain a report
+CHECK_INTERVAL = timedelta(milliseconds=250)
+OWN_STALL_AFTER = 3 * CHECK_INTERVAL  # between checks: this process was stalled, so silence proves nothing
+RECONNECT_INTERVAL = timedelta(seconds=1)
+REPORT_DELAY = timedelta(seconds=2)  # after this, a call is among the lines in use of any report
+CONTRADICTION_PERIOD = timedelta(milliseconds=700)  # releases in transit may explain a low report for so long
 
-SILENT = "nothing was heard of its server"
-LANE_SILENT = "its connection fell silent"
-NOT_THERE = "its server has fewer lines in use than calls of ours"
+SILENT = "nothing was received from its server"
+CONNECTION_SILENT = "its connection fell silent"
+TOO_FEW_LINES = "its server has fewer lines in use than established calls"
 
 
 @dataclass(slots=True)
-class Standing:
-    """One call that stands."""
+class EstablishedCall:
+    """One established call."""
 
-    since: datetime
-    lane: Lane | None  # on which it was answered, or another since that has ended
-    over_at: datetime | None = None  # when it counts as over, since its connection fell silent
+    established_at: datetime
+    connection: ServerConnection | None  # on which it was answered, or another since that one ended
+    lost_at: datetime | None = None  # when it counts as lost, after its connection fell silent
 
 
-class Holder(Protocol):
-    """The actor of the call server."""
+class CallServerPort(Protocol):
+    """What EstablishedCalls needs of the call server's actor."""
 
     loop: Loop
 
-    def open_lanes(self) -> Sequence[Lane]:
-        """Its connections that are up."""
+    def open_connections(self) -> Sequence[ServerConnection]:
+        """The connections that are up."""
 
-    def test(self, lane: Lane) -> None:
-        """Send a test."""
+    def send_probe(self, connection: ServerConnection) -> None:
+        """Send a probe."""
 
-    def give_up(self, lane: Lane) -> None:
+    def close_silent(self, connection: ServerConnection) -> None:
         """Close a connection that is silent while others are not."""
 
     def reconnect(self) -> None:
-        """Nothing is heard on any connection: have a new one."""
+        """No connection receives anything: replace them by a new one."""
 
-    def lose(self, calls: Iterable[tuple[str, Lane | None]], reason: str) -> None:
-        """These calls count as over."""
+    def calls_lost(self, calls: Iterable[tuple[str, ServerConnection | None]], reason: str) -> None:
+        """Report these calls as lost."""
 
 
-class StandingCalls:
-    """All calls that stand at one call server."""
+class EstablishedCalls:
+    """All calls established at one call server."""
 
-    def __init__(self, holder: Holder) -> None:
-        self._holder, self._clock = holder, holder.loop.clock
-        self._calls: dict[str, Standing] = {}
+    def __init__(self, call_server: CallServerPort) -> None:
+        self._call_server, self._clock = call_server, call_server.loop.clock
+        self._calls: dict[str, EstablishedCall] = {}
         self.server = Liveness(self._clock.now())
-        self._looking = False
-        self._looked_at = self._reconnected_at = self._clock.now()
-        self._broken_at: datetime | None = None  # when a connection ended last
+        self._check_scheduled = False
+        self._checked_at = self._reconnected_at = self._clock.now()
+        self._broken_at: datetime | None = None  # when a connection last ended
         self._contradicted_at: datetime | None = None
 
     def __bool__(self) -> bool:
-        """Whether there is any."""
+        """Whether there is any established call."""
         return bool(self._calls)
 
     def __contains__(self, name: str) -> bool:
-        """Whether this one stands here."""
+        """Whether the call is established here."""
         return name in self._calls
 
     def __len__(self) -> int:
-        """How many there are."""
+        """How many calls are established."""
         return len(self._calls)
 
-    def add(self, name: str, lane: Lane) -> None:
-        """A call stands."""
-        self._calls[name] = Standing(self._clock.now(), lane)
-        if not self._looking:
-            self._looking, self._looked_at = True, self._clock.now()
-            self._holder.loop.call_later(LOOK_EVERY, self._look)
+    def add(self, name: str, connection: ServerConnection) -> None:
+        """Add a call, and start the periodic check if it does not run."""
+        self._calls[name] = EstablishedCall(self._clock.now(), connection)
+        if not self._check_scheduled:
+            self._check_scheduled, self._checked_at = True, self._clock.now()
+            self._call_server.loop.call_later(CHECK_INTERVAL, self._check)
 
-    def pop(self, name: str) -> Lane | None:
-        """A call is over; the connection it was answered on, where that is open."""
-        standing = self._calls.pop(name, None)
-        return standing.lane if standing is not None else None
+    def pop(self, name: str) -> ServerConnection | None:
+        """Remove a call that has ended; its connection, if it has one."""
+        call = self._calls.pop(name, None)
+        return call.connection if call is not None else None
 
-    def on(self, lane: Lane) -> bool:
-        """Whether calls were answered there that still stand."""
-        return any(standing.lane is lane for standing in self._calls.values())
+    def uses(self, connection: ServerConnection) -> bool:
+        """Whether established calls are attached to the connection."""
+        return any(call.connection is connection for call in self._calls.values())
 
     def clear(self) -> None:
-        """None stands any more."""
+        """Forget all calls."""
         self._calls.clear()
 
-    def ended(self, lane: Lane) -> None:
-        """A connection has ended: its calls stand on, as long as the server is heard on another one."""
+    def connection_lost(self, connection: ServerConnection) -> None:
+        """A connection has ended: attach its calls to the one that received something last."""
         self._broken_at = self._clock.now()
-        lanes = [other for other in self._holder.open_lanes() if other is not lane]
-        heard = max(lanes, key=lambda other: other.liveness.last_received_at, default=None)
-        for standing in self._calls.values():
-            if standing.lane is lane:
-                standing.lane = heard
-
-    def opened(self, lane: Lane) -> None:
-        """A connection is up: calls that have none hang on it."""
-        for standing in self._calls.values():
-            if standing.lane is None:
-                standing.lane = lane
-
-    def heard(self, lane: Lane) -> None:
-        """Bytes have come."""
+        connections = [other for other in self._call_server.open_connections() if other is not connection]
+        latest = max(connections, key=lambda other: other.liveness.last_received_at, default=None)
+        for call in self._calls.values():
+            if call.connection is connection:
+                call.connection = latest
+
+    def connection_opened(self, connection: ServerConnection) -> None:
+        """A connection is up: attach the calls that have none to it."""
+        for call in self._calls.values():
+            if call.connection is None:
+                call.connection = connection
+
+    def received(self, connection: ServerConnection) -> None:
+        """Bytes were received."""
         now = self._clock.now()
         self.server.record_received(now)
-        lane.liveness.record_received(now)
+        connection.liveness.record_received(now)
 
-    def reported(self, report: i.LoadReport) -> None:
-        """A server with fewer lines in use than calls of ours, once a connection broke, is a new process."""
+    def check_report(self, report: i.LoadReport) -> None:
+        """Note when, after a broken connection, the server has fewer lines in use than established calls.
+
+        It is a new process then.
+        """
         if report.lines is None or report.free_lines is None:
             return
-        if report.lines - report.free_lines >= len(self._in_reports()):
+        if report.lines - report.free_lines >= len(self._calls_due_in_reports()):
             self._contradicted_at = None
         elif self._contradicted_at is None:
             self._contradicted_at = self._clock.now()
 
-    def _in_reports(self) -> list[str]:
-        """Calls from before a connection broke that any report has to show."""
+    def _calls_due_in_reports(self) -> list[str]:
+        """Calls from before a connection broke that any load report has to include."""
         if self._broken_at is None:
             return []
-        latest = min(self._broken_at, self._clock.now() - IN_REPORTS)
-        return [name for name, standing in self._calls.items() if standing.since <= latest]
+        latest = min(self._broken_at, self._clock.now() - REPORT_DELAY)
+        return [name for name, call in self._calls.items() if call.established_at <= latest]
 
-    def test_now(self) -> None:
-        """Test the connections that are up, whatever was heard lately; with none it counts as unheard."""
+    def probe_now(self) -> None:
+        """Probe all connections that are up; if there is none, the probe counts as unanswered."""
         now = self._clock.now()
         self.server.record_probe(now)
-        for lane in self._holder.open_lanes():
-            self._send_test(now, lane)
+        for connection in self._call_server.open_connections():
+            self._send_probe(now, connection)
 
-    def doubt(self, lane: Lane) -> None:
-        """Something that was due on a connection never came: if calls hang on it, test it now."""
-        if lane.connection.connected and lane.liveness.first_probe_at is None and self.on(lane):
-            self._send_test(self._clock.now(), lane)
+    def probe_suspect(self, connection: ServerConnection) -> None:
+        """An expected answer never came on a connection: probe it now if calls are attached to it."""
+        if (
+            connection.transport.connected
+            and connection.liveness.first_probe_at is None
+            and self.uses(connection)
+        ):
+            self._send_probe(self._clock.now(), connection)
 
-    def _send_test(self, now: datetime, lane: Lane) -> None:
-        lane.liveness.record_probe(now)
-        self._holder.test(lane)
+    def _send_probe(self, now: datetime, connection: ServerConnection) -> None:
+        connection.liveness.record_probe(now)
+        self._call_server.send_probe(connection)
 
-    def lose(self, reason: str) -> None:
-        """All count as over."""
-        self._lose(list(self._calls), reason)
+    def drop_all(self, reason: str) -> None:
+        """Count all calls as lost."""
+        self._drop(list(self._calls), reason)
 
-    def _lose(self, names: Iterable[str], reason: str) -> None:
+    def _drop(self, names: Iterable[str], reason: str) -> None:
         lost = [(name, self.pop(name)) for name in names]
         if lost:
-            self._holder.lose(lost, reason)
+            self._call_server.calls_lost(lost, reason)
 
-    # --- looking ---
+    # --- periodic check ---
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         if not self._calls:
-            self._looking = False
+            self._check_scheduled = False
             return
-        self._holder.loop.call_later(LOOK_EVERY, self._look)
+        self._call_server.loop.call_later(CHECK_INTERVAL, self._check)
         now = self._clock.now()
-        stalled, self._looked_at = now - self._looked_at > OWN_STALL, now
+        stalled, self._checked_at = now - self._checked_at > OWN_STALL_AFTER, now
         if not stalled:
-            self._judge(now)
+            self._drop_lost_calls(now)
         if self._calls:
-            self._test(now)
+            self._probe_connections(now)
 
-    def _judge(self, now: datetime) -> None:
+    def _drop_lost_calls(self, now: datetime) -> None:
         if self.server.is_dead(now):
-            self.lose(SILENT)
+            self.drop_all(SILENT)
             return
         calls = self._calls.items()
-        over = [name for name, call in calls if call.over_at is not None and call.over_at <= now]
-        self._lose(over, LANE_SILENT)
-        if self._contradicted_at is not None and now - self._contradicted_at >= CONTRADICTED_FOR:
+        over = [name for name, call in calls if call.lost_at is not None and call.lost_at <= now]
+        self._drop(over, CONNECTION_SILENT)
+        if self._contradicted_at is not None and now - self._contradicted_at >= CONTRADICTION_PERIOD:
             self._contradicted_at = None
-            self._lose(self._in_reports(), NOT_THERE)
-
-    def _test(self, now: datetime) -> None:
-        lanes = self._holder.open_lanes()
-        used = {id(standing.lane) for standing in self._calls.values()}
-        for lane in [lane for lane in lanes if id(lane) in used] or lanes:
-            self._test_lane(now, lane)
-        if not lanes:
-            self.server.record_probe(now)  # by trying to connect
-        if self.server.is_suspect(now) and now - self._reconnected_at >= RECONNECT_EVERY:
+            self._drop(self._calls_due_in_reports(), TOO_FEW_LINES)
+
+    def _probe_connections(self, now: datetime) -> None:
+        connections = self._call_server.open_connections()
+        used = {id(call.connection) for call in self._calls.values()}
+        for connection in [connection for connection in connections if id(connection) in used] or connections:
+            self._probe_connection(now, connection)
+        if not connections:
+            self.server.record_probe(now)  # the attempt to connect is the probe
+        if self.server.is_suspect(now) and now - self._reconnected_at >= RECONNECT_INTERVAL:
             self._reconnected_at = now
-            self._holder.reconnect()
+            self._call_server.reconnect()
 
-    def _test_lane(self, now: datetime, lane: Lane) -> None:
-        asked_at = lane.liveness.first_probe_at
+    def _probe_connection(self, now: datetime, connection: ServerConnection) -> None:
+        probed_at = connection.liveness.first_probe_at
         if (
-            asked_at is not None
-            and lane.liveness.is_suspect(now, CONNECTION_PROBE_TIMEOUT)
-            and self.server.last_received_at > asked_at
+            probed_at is not None
+            and connection.liveness.is_suspect(now, CONNECTION_PROBE_TIMEOUT)
+            and self.server.last_received_at > probed_at
         ):
-            for standing in self._calls.values():
-                if standing.lane is lane and standing.over_at is None:
-                    standing.over_at = lane.liveness.last_received_at + DEAD_AFTER
-            self._holder.give_up(lane)
-        elif lane.liveness.probe_due(now):
+            for call in self._calls.values():
+                if call.connection is connection and call.lost_at is None:
+                    call.lost_at = connection.liveness.last_received_at + DEAD_AFTER
+            self._call_server.close_silent(connection)
+        elif connection.liveness.probe_due(now):
             self.server.record_probe(now)
-            self._send_test(now, lane)
+            self._send_probe(now, connection)
--- a/reedmount/fronts/server_connection.py
+++ b/reedmount/fronts/server_connection.py
@@ -17,180 +17,181 @@
 from reedmount.net.loop import Loop
 from reedmount.sip.message import Message
 
-UNCONFIRMED = 64  # releases remembered on a connection
-READ_WITHIN = timedelta(seconds=1)  # a release that was sent longer ago has been read
-NUMBERS = itertools.count(1)
-FRESH = 0.75  # of the time after which a call server closes an idle connection: until then it is used
+MAX_UNCONFIRMED_RELEASES = 64  # for each connection
+RELEASE_LOSS_WINDOW = timedelta(seconds=1)  # a release sent longer ago counts as read
+CONNECTION_NUMBERS = itertools.count(1)
+REUSE_FRACTION = 0.75  # of a call server's idle timeout, up to which an idle connection is reused
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A set-up at a call server: queued, then sent, then perhaps being called off."""
+    """A set-up at a call server: queued, then sent, then possibly being cancelled."""
 
     setup: Setup
     timer: Timer
     uri: str
-    lane: Lane | None = None
+    connection: ServerConnection | None = None
     sent_at: datetime | None = None
     ending: bool = False
-    moves: int = 0
+    reassignments: int = 0
 
     @property
     def via(self) -> str:
-        """What tells the attempts of one call apart, where the server gives it back.
+        """The Via header, whose branch tells the attempts of one call apart if the server returns it.
 
-        The number in CSeq does not: call servers answer every set-up as number 1, and the answers to second
-        attempts were passed over for it.
+        CSeq cannot do so: call servers answer every set-up with number 1, and answers to second attempts
+        were ignored because of it.
         """
         return f"SIP/2.0/TCP reedmount;branch=z9hG4bK{self.setup.name}.{self.setup.attempt}"
 
-    def answered_by(self, message: Message, lane: Lane) -> bool:
-        """Whether this is its answer, and not one to an earlier attempt of the same call."""
+    def answered_by(self, message: Message, connection: ServerConnection) -> bool:
+        """Whether a message answers this attempt and not an earlier one of the same call."""
         given = message.get("Via")
         ours = given is None or "branch=" not in given or given == self.via
-        return ours and self.lane is lane and self.sent_at is not None and not self.ending
+        return ours and self.connection is connection and self.sent_at is not None and not self.ending
 
 
 @dataclass(slots=True, eq=False)
 class Outgoing:
-    """A message that has not begun to be written."""
+    """A queued message of which nothing has been written yet."""
 
     data: bytes
     counter: str
-    written: Callable[[], None] | None = None
-    attempt: Attempt | None = None  # a set-up, which a drain takes back
-    release: str = ""  # the call that it releases: sent again where the connection ends unconfirmed
-    test: bool = False  # it is no use of the connection, and needs no other where this one ends
+    on_written: Callable[[], None] | None = None
+    attempt: Attempt | None = None  # of a set-up, which is withdrawn when the server drains
+    release: str = ""  # the call it releases: sent again if the connection ends before a confirmation
+    is_probe: bool = False  # a probe does not count as use, and is dropped when the connection ends
 
 
 @dataclass(frozen=True, slots=True)
-class Up:
-    """The connection is up, or has written all it had."""
+class Connected:
+    """The connection is up, or has written all its pending data."""
 
-    lane: Lane
+    connection: ServerConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Data:
-    """Bytes have come."""
+class DataReceived:
+    """Bytes were received."""
 
-    lane: Lane
+    connection: ServerConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Down:
+class Disconnected:
     """A connection has ended."""
 
-    lane: Lane
+    connection: ServerConnection
     how: EndReason
 
 
 @dataclass(slots=True)
 class ConnectionLimits:
-    """What holds for all connections to call servers; a reload changes it in place."""
+    """Limits of all connections to call servers; a reload changes them in place."""
 
-    connect_wait: timedelta  # for one to come up
-    idle_wait: timedelta | None = None  # a call server closes one that was not used for so long
-    max_connections: int | None = None  # connections in all, beyond one to each call server
+    connect_wait: timedelta  # for a connection to come up
+    idle_wait: timedelta | None = None  # after which a call server closes an idle connection
+    max_connections: int | None = None  # in all; each call server may have one beyond it
 
 
-class Owner(Protocol):
-    """The actor whose lane it is."""
+class ConnectionOwner(Protocol):
+    """The actor that owns the connection."""
 
     loop: Loop
     limits: ConnectionLimits
 
     @property
     def address(self) -> Address:
-        """Where its call server listens."""
+        """The address at which the call server listens."""
 
-    def post(self, word: Up | Data | Down, /) -> None:
-        """Hear of the lane."""
+    def post(self, event: Connected | DataReceived | Disconnected, /) -> None:
+        """Receive an event of the connection."""
 
 
-class Lane:
-    """One connection to a call server. A set-up has one to itself while there is room.
+class ServerConnection:
+    """One connection to a call server. A set-up has one to itself while the limits allow it.
 
-    What spoils one answer, noise, a wrong length, an end amid it, spoils all that is open on its connection.
+    A corrupt answer (noise, a wrong length, truncation) fails all attempts that are open on its connection.
     """
 
-    def __init__(self, server: Owner) -> None:
-        self.number = next(NUMBERS)  # for the log
+    def __init__(self, server: ConnectionOwner) -> None:
+        self.number = next(CONNECTION_NUMBERS)  # for the log
         self.outbox: deque[Outgoing] = deque()
-        self.attempts: dict[str, Attempt] = {}  # queued or sent here
-        self.answered: deque[str] = deque(maxlen=16)  # a second copy may follow
-        self.partial = False  # a message has begun and not ended, and is looked after
-        self.releases: dict[str, tuple[datetime, Outgoing]] = {}  # sent and not confirmed, the oldest first
+        self.attempts: dict[str, Attempt] = {}  # queued or sent here, by call name
+        self.answered: deque[str] = deque(maxlen=16)  # latest calls answered here; duplicates may follow
+        self.partial = False  # a message is partly received, and its timer runs
+        self.releases: dict[str, tuple[datetime, Outgoing]] = {}  # sent and unconfirmed, oldest first
         self.writing: Callable[[], None] | None = None
         self._clock, self._limits = server.loop.clock, server.limits
-        self._used_at = self._clock.now()  # when a message other than unasked news went here or came
+        # When a message other than a probe was last sent, or an answer received.
+        self._used_at = self._clock.now()
         self.liveness = Liveness(self._used_at)
-        self.connection = Connection.dial(
+        self.transport = Connection.dial(
             server.loop, server.address, server.limits.connect_wait,
-            lambda _: server.post(Data(self)),
-            lambda _, how: server.post(Down(self, how)),
-            lambda _: server.post(Up(self)),
+            lambda _: server.post(DataReceived(self)),
+            lambda _, how: server.post(Disconnected(self, how)),
+            lambda _: server.post(Connected(self)),
         )  # fmt: skip
 
     @property
     def free(self) -> bool:
-        """Whether it is up and nothing is open or waits on it."""
-        return self.connection.connected and not self.attempts and not self.outbox
+        """Whether it is up, with no attempt open and nothing queued."""
+        return self.transport.connected and not self.attempts and not self.outbox
 
     @property
     def stale(self) -> bool:
-        """Whether its call server may close it before what would be sent now is there: that would be lost."""
+        """Whether the call server may close it as idle before a message sent now arrives and is read."""
         idle = self._limits.idle_wait
-        return idle is not None and self.free and self._clock.now() - self._used_at > idle * FRESH
+        return idle is not None and self.free and self._clock.now() - self._used_at > idle * REUSE_FRACTION
 
-    def used(self) -> None:
-        """A message of a call has come."""
+    def mark_used(self) -> None:
+        """Record that a message was sent or an answer received."""
         self._used_at = self._clock.now()
 
     @property
     def open(self) -> bool:
-        """Whether something can still be queued here."""
-        return not self.connection.ended
+        """Whether messages can still be queued here."""
+        return not self.transport.ended
 
-    def queue(self, item: Outgoing, first: bool = False) -> None:
-        """Put it in line; a message begins to be written only once those before it are wholly out."""
-        if first:
+    def queue(self, item: Outgoing, at_front: bool = False) -> None:
+        """Queue a message; writing it starts only once those before it are completely written."""
+        if at_front:
             self.outbox.appendleft(item)
         else:
             self.outbox.append(item)
         self.pump()
 
     def pump(self) -> None:
-        """Write what can be written."""
-        while self.outbox and self.connection.idle and self.writing is None:
+        """Write queued messages as far as the transport takes them."""
+        while self.outbox and self.transport.idle and self.writing is None:
             item = self.outbox.popleft()
             COUNTERS.add(item.counter)
-            self.writing = item.written or (lambda: None)
-            if not item.test:
-                self.used()
+            self.writing = item.on_written or (lambda: None)
+            if not item.is_probe:
+                self.mark_used()
             if item.release:
                 self.releases[item.release] = (self._clock.now(), item)
-                if len(self.releases) > UNCONFIRMED:
+                if len(self.releases) > MAX_UNCONFIRMED_RELEASES:
                     del self.releases[next(iter(self.releases))]
             if item.attempt is not None:
                 item.attempt.sent_at = self._clock.now()
-            self.connection.send(item.data)
-            if self.connection.idle:
+            self.transport.send(item.data)
+            if self.transport.idle:
                 self.finish_write()
 
-    def lost_releases(self) -> list[Outgoing]:
-        """Those that were sent so shortly before its end that they may not have been read."""
-        since = self._clock.now() - READ_WITHIN
+    def releases_at_risk(self) -> list[Outgoing]:
+        """Unconfirmed releases sent so shortly before the connection ended that they may be lost."""
+        since = self._clock.now() - RELEASE_LOSS_WINDOW
         return [item for at, item in self.releases.values() if at >= since]
 
     def finish_write(self) -> None:
-        """What was being written is out."""
-        done, self.writing = self.writing, None
-        if done is not None:
-            done()
+        """The message being written is complete: call its callback."""
+        on_written, self.writing = self.writing, None
+        if on_written is not None:
+            on_written()
 
-    def unsent(self, attempt: Attempt) -> Outgoing | None:
-        """Take back a set-up that has not begun to be written."""
+    def withdraw(self, attempt: Attempt) -> Outgoing | None:
+        """Remove a set-up from the queue if nothing of it has been written."""
         item = next((item for item in self.outbox if item.attempt is attempt), None)
         if item is not None:
             self.outbox.remove(item)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -178,10 +178,10 @@
     for name in ("c1", "c2", "c3", "c4"):
         stage.side.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
         stage.play(f"server expect INVITE {name}")
-    assert stage.side._peers["server"].connections == 2
+    assert stage.side._peers["server"].connection_count == 2
     stage.peer("second", "thin")
     stage.tell("server", "second")
-    assert stage.side._peers["second"].connections == 1
+    assert stage.side._peers["second"].connection_count == 1
 
 
 def test_callers_make_room_for_what_else_needs_descriptors() -> None:
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -209,8 +209,8 @@
     server.passes_test = lambda message: message.method == "OPTIONS"  # type: ignore[method-assign]
     peer = next(iter(stage.side._peers.values()))
     peer._entry = replace(peer._entry, address=(HOST, port))
-    for lane in list(peer._lanes):
-        peer._retire(lane, "a test")
+    for connection in list(peer._connections):
+        peer._retire(connection, "a test")
     peer._dial()
     stage.play("wait 1000")
     assert not stage.switch.is_idle
