--- a/reedmount/fronts/call_servers.py
+++ b/reedmount/fronts/call_servers.py
@@ -218,8 +218,8 @@
     def _assign(self, item: Outgoing, attempt: Attempt) -> None:
         """Assign a set-up to a free connection, else a new one, else the one with the fewest attempts."""
         name = attempt.setup.name
-        for expiring in [connection for connection in self._connections if connection.stale]:
-            self._retire(expiring, "its server may close it as idle")
+        for stale in [connection for connection in self._connections if connection.stale]:
+            self._retire(stale, "its server may close it as idle")
         able = [connection for connection in self._connections if name not in connection.answered]
         free = (connection for connection in able if connection.free)
         connection = max(free, key=lambda connection: connection.transport.last_received_at, default=None)
--- a/tests/test_rough.py
+++ b/tests/test_bad_peers.py
@@ -1,4 +1,4 @@
-"""Rough days on the platform's front: bad clients, spoilt answers, broken connections, bounds."""
+"""The platform's front against bad peers: malformed input, floods, slow clients, resets, limits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 GOOD = b"there\r\n"
 HEAD = b"SIP/2.0 200 OK\r\nCall-ID: %b\r\nCSeq: 1 INVITE\r\n" % digits("c1").encode()
-SPOILT = {
+MALFORMED = {
     "noise": b"\x04\x8c\x9a\xd3\xa2\x05\xffU_k\xa1\r\n\r\n",
     "noise for a description": HEAD + b"Content-Length: 9\r\n\r\n\x04\x8c\x9a\xd3\xa2\x05\xff\r\n",
     "two lengths": HEAD + b"Content-Length: -4\r\nContent-Length: 7\r\n\r\n" + GOOD,
@@ -32,16 +32,16 @@
 }
 
 
-def accepted(stage: Platform, name: str = "server") -> socket.socket:
-    """The connection on which the server heard last."""
+def latest_socket(stage: Platform, name: str = "server") -> socket.socket:
+    """The connection on which the server last received a message."""
     sock = stage.peers[name].sock
     assert sock is not None
     return sock
 
 
-@pytest.mark.parametrize("kind", SPOILT)
-def test_a_spoilt_answer_ends_its_attempt_alone_and_never_reaches_the_caller(kind: str) -> None:
-    """All calls of a server shared one connection, and what noise hit was passed on or cut all of them."""
+@pytest.mark.parametrize("kind", MALFORMED)
+def test_a_malformed_answer_fails_only_its_own_attempt_and_never_reaches_the_caller(kind: str) -> None:
+    """All calls of a server shared a connection: corrupt answers were passed on, or cut all these calls."""
     stage = Platform("server")
     stage.play(f"""
         other send INVITE t x-cos=small x-timer-ms=2000
@@ -49,7 +49,7 @@
         caller send {SETUP}
         server expect INVITE c1
     """)
-    accepted(stage).sendall(SPOILT[kind])
+    latest_socket(stage).sendall(MALFORMED[kind])
     stage.play("""
         wait 50
         server expect CLOSED
@@ -65,17 +65,17 @@
     """)
 
 
-def test_an_answer_that_stops_short_ends_its_attempt_soon() -> None:
-    """Its connection stayed open: the call hung until its caller gave up, and others were sent after it."""
+def test_a_truncated_answer_ends_its_attempt_soon() -> None:
+    """Its connection stayed open: the call hung until its caller gave up, and others were sent there."""
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1")
-    accepted(stage).sendall(HEAD + b"Content-Length: 70\r\n\r\nthe")
+    latest_socket(stage).sendall(HEAD + b"Content-Length: 70\r\n\r\nthe")
     stage.play("wait 200\n server expect nothing\n wait 100\n server expect CLOSED\n wait 300")
     stage.play("server expect INVITE c1")
 
 
-def test_a_connection_used_no_more_still_hears_the_releases_of_its_calls() -> None:
-    """It was closed 1.5 s after an answer had been overtaken: a release on its way there was lost."""
+def test_a_retired_connection_still_receives_the_releases_of_its_calls() -> None:
+    """It was closed 1.5 s after an answer had been overtaken, and a release in transit on it was lost."""
     stage = Platform("server", max_attempts=1)
     stage.play(
         STANDS
@@ -97,18 +97,18 @@
     )
 
 
-def test_a_reset_connection_is_followed_by_another_on_which_releases_come_again() -> None:
+def test_a_reset_connection_is_replaced_by_one_on_which_releases_are_resent() -> None:
     stage = Platform("server")
     stage.play(STANDS + "wait 200\n server close reset\n wait 20\n server send BYE c1\n server expect 200 c1")
     stage.play("caller expect BYE c1")
 
 
-def test_a_second_copy_of_an_answer_leaves_the_call_standing() -> None:
-    """It was taken for a late answer and released: the call was cut, and its caller not told."""
+def test_a_duplicate_answer_leaves_the_call_established() -> None:
+    """It was taken for a late answer and released: the call was cut without notice to its caller."""
     stage = Platform("server")
     stage.play(STANDS)
     answer = HEAD + b"Content-Length: 7\r\n\r\n" + GOOD
-    accepted(stage).sendall(answer + answer.replace(digits("c1").encode(), b"00" * 8))
+    latest_socket(stage).sendall(answer + answer.replace(digits("c1").encode(), b"00" * 8))
     stage.play("""
         server expect nothing
         caller expect nothing
@@ -118,8 +118,8 @@
     """)
 
 
-def test_a_second_copy_of_a_refusal_does_not_end_the_next_attempt() -> None:
-    """Call servers give no Via back: on one connection the copy counted as the answer to what came next."""
+def test_a_duplicate_refusal_does_not_end_the_next_attempt() -> None:
+    """Call servers return no Via: on one connection the duplicate counted as the next attempt's answer."""
     stage = Platform("server")
     stage.play(f"""
         caller send {SETUP}
@@ -128,15 +128,15 @@
         server expect ACK c1
         server expect INVITE c1
     """)
-    first, second = stage.peers["server"].heard[0], accepted(stage)
+    first, second = stage.peers["server"].heard[0], latest_socket(stage)
     other = stage.peers["server"].came[id(first)]
     assert other is not second, "the next attempt had a connection of its own"
     other.sendall(HEAD.replace(b"200 OK", b"480 Moot") + b"Content-Length: 0\r\n\r\n")
     stage.play("server expect nothing\n caller expect nothing")
 
 
-def test_a_connection_reset_when_new_is_dialled_again_for_what_was_not_sent() -> None:
-    """One reset as it came up made the whole server count as out of reach."""
+def test_a_connection_reset_when_new_is_dialled_again_for_unsent_set_ups() -> None:
+    """A connection that was reset as it came up made the whole server count as unreachable."""
     stage = Platform("server")
     before = COUNTERS["attempts.unreachable"]
     stage.play(f"""
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "fields",
     [
         "x-cos=small_x x-timer-ms=2000", "x-cos=small", "x-cos=small x-timer-ms=soon",
         "x-cos=small x-timer-ms=-5", "x-cos=small x-timer-ms=0", "x-cos=small x-timer-ms=99999999999999999",
@@ -162,10 +162,10 @@
         "x-cos=small x-timer-ms=2000 uri=sip:x@net", "x-cos=small x-timer-ms=2000 uri=sip:4711@far",
     ],
 )  # fmt: skip
-def test_a_set_up_with_a_field_out_of_its_range_is_refused_at_the_door(words: str) -> None:
-    """What call servers cannot read made them close the connection of all calls."""
+def test_a_set_up_with_a_field_out_of_range_is_refused_before_a_server_sees_it(fields: str) -> None:
+    """Call servers close the connection that all calls share when they cannot read a message."""
     stage = Platform("server")
-    stage.play(f"caller send INVITE c1 {words} | hello\n caller expect 400 c1\n server expect nothing")
+    stage.play(f"caller send INVITE c1 {fields} | hello\n caller expect 400 c1\n server expect nothing")
     assert stage.switch.is_idle
 
 
@@ -180,14 +180,14 @@
         b"BYE sip:x@net SIP/2.0\r\nCall-ID: nobody's\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n",
     ],
 )  # fmt: skip
-def test_what_cannot_be_read_costs_its_connection_and_goes_no_further(raw: bytes) -> None:
+def test_unreadable_input_closes_its_connection_and_is_not_passed_on(raw: bytes) -> None:
     stage = Platform("server")
     stage.peers["caller"].write(raw)
     stage.play("caller expect CLOSED\n server expect nothing\n" + STANDS)
 
 
-def test_connections_that_say_or_get_nothing_are_closed_and_those_with_calls_are_kept() -> None:
-    """Hundreds of silent connections held the descriptors that callers need, and got no end in time."""
+def test_idle_connections_are_closed_and_those_with_calls_are_kept() -> None:
+    """Hundreds of silent connections were not closed in time and held the descriptors that callers need."""
     stage = Platform("server")
     stage.play(
         STANDS
@@ -223,8 +223,8 @@
     """)
 
 
-def test_two_set_ups_under_one_number_are_one_refusal_and_no_call() -> None:
-    """The second was passed over in silence, and the first went on for a caller that could not tell."""
+def test_two_set_ups_with_one_call_id_on_a_connection_are_refused_and_cancelled() -> None:
+    """The second was silently ignored, and the first went on for a caller that could not tell them apart."""
     stage = Platform("server")
     stage.play(f"""
         caller send {SETUP} | one
@@ -236,7 +236,7 @@
     """)
 
 
-def test_the_number_of_an_open_call_is_refused_to_another_caller_and_the_call_goes_on() -> None:
+def test_the_call_id_of_an_open_call_is_refused_to_another_caller_and_the_call_goes_on() -> None:
     stage = Platform("server")
     stage.play(f"""
         caller send {SETUP} | one
@@ -250,34 +250,34 @@
 
 
 def test_a_flood_on_one_connection_leaves_room_for_the_others() -> None:
-    """Hundreds of set-ups at once filled the module's waiting room and the servers' processors."""
+    """Hundreds of set-ups at once filled the decision module's queue and the servers' processors."""
     stage = Platform("server")
     caller = stage.peers["caller"]
     for number in range(40):
-        words = {"x-cos": "small", "x-timer-ms": "2000"}
-        caller.write(caller.request("INVITE", f"f{number}", words, b"").encode())
+        fields = {"x-cos": "small", "x-timer-ms": "2000"}
+        caller.write(caller.request("INVITE", f"f{number}", fields, b"").encode())
     stage.settle()
     assert stage.switch.unanswered == 16 and len(caller.inbox) == 24
     assert all(message.status == 503 for message in caller.inbox)
 
 
-def test_one_that_sends_again_whatever_is_refused_is_closed() -> None:
+def test_a_client_that_keeps_sending_malformed_set_ups_is_closed() -> None:
     stage = Platform("server")
     for number in range(8):
         stage.play(f"caller send INVITE c{number} x-cos=none x-timer-ms=2000\n caller expect 400 c{number}")
     stage.play("caller expect CLOSED")
 
 
-def test_releases_of_calls_that_nobody_knows_are_not_all_passed_on() -> None:
-    """A caller that makes numbers up kept every server busy with releases."""
+def test_releases_of_unknown_calls_are_passed_on_up_to_a_limit() -> None:
+    """A caller that invents call IDs kept every server busy with releases."""
     stage = Platform("server")
     for number in range(30):
         stage.play(f"caller send BYE b{number}\n caller expect {200 if number < 16 else 481} b{number}")
     assert [m.method for m in stage.peers["server"].inbox] == ["BYE"] * 16
 
 
-def test_a_call_that_every_server_answers_with_a_fault_is_no_fault_of_theirs() -> None:
-    """Each was sent four times, and four faults in a row barred a server for all other callers."""
+def test_a_call_that_fails_at_every_server_bars_none_of_them() -> None:
+    """Each was sent four times, and four errors in a row barred a server for all other callers."""
     stage = Platform("server", "second")
     for number in range(6):
         stage.play(f"""
@@ -293,7 +293,7 @@
     stage.play("caller send INVITE d x-cos=small x-timer-ms=2000 x-legs=dest:1\n server expect INVITE d")
 
 
-def test_a_log_line_that_input_brings_about_is_not_said_for_ever(capsys: pytest.CaptureFixture[str]) -> None:
+def test_log_lines_caused_by_input_are_rate_limited(capsys: pytest.CaptureFixture[str]) -> None:
     LOGGED_COUNTS.clear()
     for _ in range(1000):
         log("again", kind="again")
@@ -304,7 +304,7 @@
     LOGGED_COUNTS.clear()
 
 
-def test_releases_wait_for_a_caller_and_their_number_is_bounded() -> None:
+def test_releases_that_wait_for_a_caller_are_bounded() -> None:
     stage = Platform("server")
     for number in range(5000):
         stage.callers.release(f"{number:016x}", 16, None)
@@ -312,28 +312,28 @@
     stage.wait(timedelta(milliseconds=10))
 
 
-def test_a_connection_that_has_ended_leaves_nothing_to_the_collector() -> None:
-    """Each left twenty objects in a circle and two buffers: memory grew by megabytes between collections."""
+def test_an_ended_connection_leaves_no_garbage_cycles() -> None:
+    """Each left a cycle of twenty objects and two buffers: memory grew by megabytes between collections."""
     stage = Platform("server")
 
-    def visit(times: int) -> None:
+    def open_and_close(times: int) -> None:
         for _ in range(times):
             stage.play("caller send OPTIONS t\n caller expect 200 t\n caller close")
             stage.settle()
 
-    visit(3)
+    open_and_close(3)
     gc.collect()
     gc.disable()
     try:
         before = len(gc.get_objects())
-        visit(20)
+        open_and_close(20)
         assert len(gc.get_objects()) - before < 40
     finally:
         gc.enable()
 
 
-def test_new_settings_bind_new_calls_and_an_open_call_keeps_its_own() -> None:
-    """Fewer attempts cut an open call off; the last calls of a dropped class were refused as malformed."""
+def test_new_settings_apply_to_new_calls_and_an_open_call_keeps_its_own() -> None:
+    """Fewer attempts ended an open call; the last calls of a dropped class were refused as malformed."""
     stage = Platform("server")
     small, *others = stage.switch.settings.classes
     once = replace(small, name="once", effect=i.Effect.ONCE)
@@ -368,8 +368,10 @@
     assert stage.switch.is_idle and not stage.switch._leaving
 
 
-def test_a_message_in_single_bytes_is_cheap_and_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each piece had the whole of what was there copied and searched again: 114 MB for one set-up."""
+def test_a_message_received_byte_by_byte_is_framed_without_repeated_copies(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Each segment had the whole buffer copied and searched again: 114 MB for one set-up."""
     copied = 0
     whole = Ring.peek
 
@@ -394,7 +396,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=30), st.lists(st.integers(1, 60), min_size=1, max_size=30))
-def test_a_ring_finds_what_lies_round_its_end(parts: list[bytes], drops: list[int]) -> None:
+def test_a_ring_finds_bytes_across_its_wrap_around(parts: list[bytes], drops: list[int]) -> None:
     ring, plain = Ring(64), b""
     for part, drop in zip(parts, drops, strict=False):
         if ring.write(part):
@@ -406,8 +408,8 @@
         plain = plain[drop:]
 
 
-def test_a_slow_writer_outlives_the_crowd_that_never_finishes() -> None:
-    """It was closed amid its first set-up, for time or for room; silent and stalled ones stayed."""
+def test_a_slow_writer_is_kept_while_clients_that_never_finish_are_closed() -> None:
+    """It was closed amid its first set-up, by time-out or for room, while silent and stalled ones stayed."""
     stage = Platform("server")
     stage.callers.max_connections = 6
     slow = stage.peer("slow", "thin", stage.callers.address)
@@ -429,7 +431,7 @@
         sock.close()
 
 
-def test_those_with_the_least_claim_make_room_first() -> None:
+def test_connections_in_least_use_are_closed_first_to_make_room() -> None:
     stage = Platform("server")
     stage.callers.max_connections = 6
     names = ("silent", "stalled", "idle", "called", "writing", "used")
@@ -445,11 +447,11 @@
     for number in range(4):
         stage.peer(f"new{number}", "thin", stage.callers.address).write(b"INVITE s")
         stage.settle()
-    gone = [name for name, peer in zip(names, peers, strict=True) if not peer.rings]
-    assert gone == list(names[:4])
+    closed = [name for name, peer in zip(names, peers, strict=True) if not peer.rings]
+    assert closed == list(names[:4])
 
 
-def test_a_client_that_leaves_frees_its_call_and_its_attempt_at_once() -> None:
+def test_a_client_that_disconnects_frees_its_call_and_its_attempt_at_once() -> None:
     stage = Platform("server")
     stage.play(f"caller send {SETUP}\n server expect INVITE c1\n caller close reset")
     stage.play("server expect CANCEL c1")
@@ -457,8 +459,8 @@
 
 
 @pytest.mark.parametrize("counted", ["answered.after_caller", "answered.overdue"])
-def test_an_answer_past_our_own_instant_is_told_from_one_past_its_callers(counted: str) -> None:
-    """Our instant lies 40 ms before the caller's; both were one count, and one line in the log."""
+def test_an_answer_past_our_deadline_is_counted_apart_from_one_past_its_callers(counted: str) -> None:
+    """Our deadline is 40 ms before the caller's; both had one counter, and one line in the log."""
     stage = Platform("server", max_attempts=1)
     stage.play(f"caller send {SETUP}\n server expect INVITE c1")
     before = {name: COUNTERS[name] for name in ("answered.after_caller", "answered.overdue")}
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Call servers that fall silent with calls standing: callers are told in time, whatever discovery says."""
+"""Call servers that fall silent with established calls: callers are released in time without discovery."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from tests.test_platform import ANOTHER, STANDS, Platform
 
 T0 = datetime(2026, 1, 1, tzinfo=UTC)
-TOLD_WITHIN = timedelta(seconds=8)  # of its end, where no release could be sent
+REPORT_WITHIN = timedelta(seconds=8)  # of a call's end, if its server could send no release
 ENDS = """
     server send BYE c1 reason=Q.850;cause=16
     server expect 200 c1
     caller expect BYE c1 reason=Q.850;cause=16
 """
-TWO_MORE = """
+TWO_MORE_SETUPS = """
     other send INVITE t x-cos=small x-timer-ms=2000
     other send INVITE u x-cos=small x-timer-ms=2000
     server expect INVITE t
     server expect INVITE u
 """
-MOMENT = timedelta(milliseconds=1)
+MILLISECOND = timedelta(milliseconds=1)
 
 
-def test_a_peer_with_news_is_not_tested_and_never_dead() -> None:
+def test_a_peer_that_sends_is_not_probed_and_never_dead() -> None:
     liveness = Liveness(T0)
     for step in range(1, 100):
         now = T0 + step * PROBE_AFTER_SILENCE * 0.9
@@ -37,55 +37,61 @@
         liveness.record_received(now)
 
 
-def test_a_quiet_peer_is_tested_and_an_answer_settles_it() -> None:
+def test_a_silent_peer_is_probed_and_an_answer_clears_the_suspicion() -> None:
     liveness = Liveness(T0)
     now = T0 + PROBE_AFTER_SILENCE
     assert liveness.probe_due(now)
     liveness.record_probe(now)
-    assert not liveness.probe_due(now + PROBE_TIMEOUT - MOMENT) and liveness.probe_due(now + PROBE_TIMEOUT)
-    assert not liveness.is_suspect(now + PROBE_TIMEOUT - MOMENT) and liveness.is_suspect(now + PROBE_TIMEOUT)
+    assert not liveness.probe_due(now + PROBE_TIMEOUT - MILLISECOND) and liveness.probe_due(
+        now + PROBE_TIMEOUT
+    )
+    assert not liveness.is_suspect(now + PROBE_TIMEOUT - MILLISECOND) and liveness.is_suspect(
+        now + PROBE_TIMEOUT
+    )
     liveness.record_received(now + PROBE_TIMEOUT)
     assert not liveness.is_suspect(now + 10 * PROBE_TIMEOUT) and not liveness.is_dead(T0 + 10 * DEAD_AFTER)
 
 
-def test_silence_counts_only_while_tests_go_unanswered() -> None:
-    """A process that stood still itself has heard nothing for long, and has asked nothing either."""
+def test_silence_counts_only_while_probes_are_unanswered() -> None:
+    """A process that was stalled itself has received nothing for long, but has sent no probe either."""
     liveness = Liveness(T0)
     late = T0 + 2 * DEAD_AFTER
     assert not liveness.is_dead(late)
     liveness.record_probe(late)
-    assert not liveness.is_dead(late + MIN_PROBED - MOMENT) and liveness.is_dead(late + MIN_PROBED)
+    assert not liveness.is_dead(late + MIN_PROBED - MILLISECOND) and liveness.is_dead(late + MIN_PROBED)
 
 
-def test_dead_leaves_room_until_callers_have_to_be_told() -> None:
-    """And is longer than the partitions that calls are to outlive."""
-    assert timedelta(seconds=7) < DEAD_AFTER < TOLD_WITHIN - timedelta(milliseconds=500)
+def test_dead_after_leaves_time_to_release_callers() -> None:
+    """It is also longer than the partitions that calls have to survive."""
+    assert timedelta(seconds=7) < DEAD_AFTER < REPORT_WITHIN - timedelta(milliseconds=500)
 
 
 def fall_silent(server: Peer) -> None:
-    """It takes what comes and says nothing."""
+    """Let a server accept everything and send nothing."""
     server.answers = False
     server.take = lambda message: None  # type: ignore[method-assign]
 
 
-def fail_tests_on(server: Peer, silent: socket.socket) -> None:
-    """One of its connections is dead, the others are not."""
+def fail_probes_on(server: Peer, silent: socket.socket) -> None:
+    """Let one connection of a server be dead and the others work."""
     passes = server.passes_test
     server.passes_test = lambda message: server.sock is not silent and passes(message)  # type: ignore[method-assign]
 
 
-def until_told(stage: Platform, longest_s: float = 9.0) -> float:
-    """Seconds until the caller hears the release."""
-    caller, begun = stage.peers["caller"], stage.time.seconds
+def seconds_until_released(stage: Platform, longest_s: float = 9.0) -> float:
+    """Wait until the caller receives the release; how many seconds that took."""
+    caller, started_at = stage.peers["caller"], stage.time.seconds
     while not any(message.method == "BYE" for message in caller.inbox):
-        assert stage.time.seconds - begun < longest_s, "the caller was not told"
+        assert stage.time.seconds - started_at < longest_s, "the caller received no release"
         stage.wait(timedelta(milliseconds=50))
-    return stage.time.seconds - begun
+    return stage.time.seconds - started_at
 
 
 @pytest.mark.parametrize("accepts", [True, False], ids=["new connections come up", "none comes up"])
-def test_the_caller_is_told_though_neither_its_server_nor_discovery_says_a_word(accepts: bool) -> None:
-    """The machine vanished: the connection stayed open and silent, and the list did not change."""
+def test_the_caller_is_released_though_neither_its_server_nor_discovery_reports_anything(
+    accepts: bool,
+) -> None:
+    """The machine vanished: its connection stays open and silent, and the list does not change."""
     stage = Platform("server")
     stage.play(STANDS)
     server = stage.peers["server"]
@@ -93,31 +99,31 @@
     with crowded() as (full, _):
         if not accepts:
             stage.tell("server", port=full.getsockname()[1])
-        took = until_told(stage)
-    assert timedelta(seconds=7) < timedelta(seconds=took) < TOLD_WITHIN
+        waited = seconds_until_released(stage)
+    assert timedelta(seconds=7) < timedelta(seconds=waited) < REPORT_WITHIN
     assert stage.switch.is_idle
     stage.play("caller expect BYE c1 reason=Q.850;cause=41")
 
 
-def test_a_server_with_no_news_is_tested_and_its_calls_stand_on() -> None:
+def test_a_server_with_nothing_to_send_is_probed_and_keeps_its_calls() -> None:
     stage = Platform("server")
     stage.play(STANDS)
-    tests = COUNTERS["out.server.OPTIONS"]
+    probes = COUNTERS["out.server.OPTIONS"]
     stage.play("wait 9000\n caller expect nothing")
-    assert not stage.switch.is_idle and COUNTERS["out.server.OPTIONS"] > tests
+    assert not stage.switch.is_idle and COUNTERS["out.server.OPTIONS"] > probes
     stage.play(ENDS)
     stage.play("wait 2000\n server expect nothing")
 
 
-def test_a_server_without_calls_is_not_tested() -> None:
+def test_a_server_without_calls_is_not_probed() -> None:
     stage = Platform("server")
-    tests = COUNTERS["out.server.OPTIONS"]
+    probes = COUNTERS["out.server.OPTIONS"]
     stage.play("wait 5000")
-    assert COUNTERS["out.server.OPTIONS"] == tests
+    assert COUNTERS["out.server.OPTIONS"] == probes
 
 
 def test_a_server_that_was_silent_for_six_seconds_keeps_its_calls() -> None:
-    """A partition: what it had to say comes once it is over."""
+    """After a partition the server sends what it could not send before."""
     stage = Platform("server")
     stage.play(STANDS)
     server = stage.peers["server"]
@@ -129,26 +135,26 @@
     assert not stage.switch.is_idle
 
 
-def test_a_server_that_comes_back_after_its_calls_were_counted_as_over_is_told() -> None:
-    """It still has them: they would take its lines until they end."""
+def test_a_server_that_returns_after_its_calls_were_dropped_receives_their_releases() -> None:
+    """It still has the calls: they would occupy its lines until they end."""
     stage = Platform("server")
     stage.play(STANDS)
     server = stage.peers["server"]
     server.answers = False
-    until_told(stage)
+    seconds_until_released(stage)
     stage.settle()
     assert "BYE" in [message.method for message in server.inbox]
 
 
-def test_a_connection_that_is_silent_alone_is_closed_and_its_calls_stand_on() -> None:
-    """Its server is heard elsewhere, and says there what it could not say on the dead one."""
+def test_a_silent_connection_of_a_live_server_is_closed_and_its_calls_go_on() -> None:
+    """Its server sends on another connection what it could not send on the dead one."""
     stage = Platform("server")
     stage.play(STANDS)
     server = stage.peers["server"]
     dead = next(iter(server.rings))
-    fail_tests_on(server, dead)
+    fail_probes_on(server, dead)
     stage.play(
-        TWO_MORE
+        TWO_MORE_SETUPS
         + """
         server send 200 INVITE t
         server send 200 INVITE u
@@ -161,7 +167,7 @@
     stage.play(ENDS)
 
 
-def test_a_process_that_stood_still_itself_does_not_count_its_servers_as_dead() -> None:
+def test_a_process_that_was_stalled_itself_does_not_count_its_servers_as_dead() -> None:
     stage = Platform("server")
     stage.play(STANDS + "wait 900")
     stage.time.seconds += 30
@@ -174,7 +180,7 @@
 
 
 def test_another_process_at_the_same_address_has_none_of_the_calls() -> None:
-    """It took over so quickly that no connection was refused; only the lines in use give it away."""
+    """It took over so quickly that no connection was refused; only the lines in use show the change."""
     stage = Platform("server")
     stage.play(STANDS + "wait 2500\n server close reset\n wait 100")
     assert not stage.switch.is_idle, "a reset cuts no call by itself"
@@ -196,8 +202,8 @@
     assert not stage.switch.is_idle
 
 
-def test_a_draining_server_that_takes_no_connection_keeps_the_calls_on_those_it_has() -> None:
-    """Its listener was closed: a refused connection proved that its process was gone, and calls were cut."""
+def test_a_draining_server_that_accepts_no_connection_keeps_the_calls_on_its_open_ones() -> None:
+    """Its listener was closed: a refused connection counted as the end of its process, and calls were cut."""
     stage = Platform("server")
     stage.play(STANDS)
     server = stage.peers["server"]
@@ -221,8 +227,8 @@
 # --- clients that fall silent ---
 
 
-def test_a_release_that_is_not_confirmed_goes_another_way_as_well() -> None:
-    """A client's connection was silently dead: the release lay there until it ended, seconds later."""
+def test_an_unconfirmed_release_is_also_sent_on_another_connection() -> None:
+    """A client's connection was silently dead: the release stayed queued until it ended seconds later."""
     stage = Platform("server")
     stage.play(ANOTHER + STANDS)
     stage.play("""
@@ -250,25 +256,25 @@
     stage.play("wait 2000\n other expect nothing\n caller expect nothing")
 
 
-# --- what a broken connection leaves behind ---
+# --- broken connections ---
 
 
-def test_calls_of_a_broken_connection_end_with_the_others_once_another_machine_answers() -> None:
-    """Their connection had broken before the machine vanished; the new one at its address was heard."""
+def test_calls_of_a_broken_connection_end_when_another_machine_answers_at_the_address() -> None:
+    """Their connection had broken before the machine vanished; the new machine at its address answered."""
     stage = Platform("server")
     stage.play(STANDS)
     server = stage.peers["server"]
     server.close(reset=True)
     stage.play("wait 300")
     old = next(iter(server.rings))
-    fail_tests_on(server, old)
-    stage.play(TWO_MORE)
-    assert len(server.rings) > 1, "another connection is heard, on which c1 does not hang"
-    assert timedelta(seconds=until_told(stage, 9.0)) < TOLD_WITHIN
+    fail_probes_on(server, old)
+    stage.play(TWO_MORE_SETUPS)
+    assert len(server.rings) > 1, "another connection is active, to which c1 is not attached"
+    assert timedelta(seconds=seconds_until_released(stage, 9.0)) < REPORT_WITHIN
 
 
-def test_a_release_on_a_connection_that_breaks_at_once_comes_again() -> None:
-    """It was written to a connection that its server closed as soon as it was up."""
+def test_a_release_on_a_connection_that_breaks_at_once_is_resent() -> None:
+    """It was written to a connection that the server closed as soon as it was up."""
     stage = Platform("server")
     stage.play(STANDS + "caller send BYE c1\n caller expect 200 c1")
     stage.play("server expect BYE c1\n server close reset")
@@ -276,8 +282,8 @@
     stage.play("wait 1000\n server expect nothing")
 
 
-def test_a_client_reads_its_last_answer_though_it_writes_as_its_connection_is_closed() -> None:
-    """The close was a reset to whatever was on its way, and took the answer with it."""
+def test_a_client_that_writes_during_the_close_still_reads_its_last_answer() -> None:
+    """Data in transit at the close caused a reset, which discarded the last answer."""
     stage = Platform("server")
     stage.play("caller send OPTIONS t\n wait 5")
     link = next(iter(stage.callers._links))
