--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -28,7 +28,7 @@
 import click
 import dns.rdatatype
 
-from reedmount.__main__ import GC_AFTER
+from reedmount.__main__ import GC_THRESHOLD
 from reedmount.core.actors import Scheduler
 from reedmount.core.checks import COUNTERS
 from reedmount.core.clock import ZERO, Clock
@@ -221,7 +221,7 @@
             site.go(5 * S, lambda start=rounds: COUNTERS["srv.rounds"] > start)  # type: ignore[misc]
             gc.collect()
             gc.freeze()
-            gc.set_threshold(GC_AFTER)
+            gc.set_threshold(GC_THRESHOLD)
             site.turns.spent.clear()
             site.turns.learning = site.turns.collected = 0.0
             took = site.go(10 * S, partial(learnt, site, wanted))
--- a/reedmount/__main__.py
+++ b/reedmount/__main__.py
@@ -16,11 +16,11 @@
 from reedmount.net.loop import READ, Loop
 from reedmount.node import Node
 
-GC_AFTER = 20_000
+GC_THRESHOLD = 20_000  # allocations; a full collection takes longer than a turn of the loop should
 
 
 def catch_signals() -> socket.socket:
-    """From the first moment on signals are bytes on a socket, and end nothing by themselves."""
+    """Deliver signals as bytes on the returned socket, so that none ends the process by default."""
     inside, outside = socket.socketpair()
     inside.setblocking(False)
     outside.setblocking(False)
@@ -30,39 +30,39 @@
     return inside
 
 
-def hear_signals(loop: Loop, node: Node, inside: socket.socket) -> None:
-    """Give the signals that were caught to the node."""
+def forward_signals(loop: Loop, node: Node, inside: socket.socket) -> None:
+    """Pass caught signals on to the node."""
 
     def ready(_: int) -> None:
         for number in inside.recv(64):
-            node.signalled(number)
+            node.handle_signal(number)
 
     loop.watch(inside.fileno(), READ, ready)
     loop.retained = inside
 
 
-def _operated(loop: Loop, path: Path) -> Node:
-    """What an operator's file sets up; the platform's memory is spared all that is imported for it."""
+def _operator_node(loop: Loop, path: Path) -> Node:
+    """Build the node of an operator's file; the imports stay here to save memory on the platform."""
     from reedmount.operate import serve_sip
     from reedmount.operator_file import read_operator
 
     return serve_sip(loop, lambda: read_operator(path))
 
 
-def _join_peers(loop: Loop, node: Node) -> None:
-    """Be a member among the platform's peers, where it names any; without the flag none of it is imported."""
+def _join_group(loop: Loop, node: Node) -> None:
+    """Join the group of the platform's peers, if it names any; imported only with --members."""
     from reedmount.peers.member_handover import MemberHandover
     from reedmount.peers.platform import read_peers
 
     settings = read_peers(os.environ)
     if settings is not None:
-        node.parts = seat = MemberHandover(loop, settings)
-        node.on_hand_over(seat.hand_over)
-        node.on_end(seat.leave)
+        node.retained = member_handover = MemberHandover(loop, settings)
+        node.on_hand_over(member_handover.hand_over)
+        node.on_end(member_handover.leave)
 
 
 def main(clock: Clock | None = None) -> int:
-    """Serve until SIGTERM, by the system's clock unless another is given."""
+    """Serve until SIGTERM, using the system's clock unless another is given."""
     parser = argparse.ArgumentParser(prog="reedmount", description="A border controller for call set-ups.")
     parser.add_argument("--operator", metavar="FILE", type=Path, help="serve SIP as this file says")
     parser.add_argument("--members", action="store_true", help="on the platform: be a member among its peers")
@@ -72,21 +72,21 @@
     loop = Loop(clock or Clock())
     try:
         if operator is not None:
-            node = _operated(loop, operator)
+            node = _operator_node(loop, operator)
         else:
             node = Node.on_platform(loop, lambda: read_platform(os.environ))
             if arguments.members:
-                _join_peers(loop, node)
+                _join_group(loop, node)
     except ConfigError as error:
         log(f"reedmount: {error}")
         return 2
     except OSError as error:
         log(f"reedmount: cannot listen: {error}")
         return 1
-    hear_signals(loop, node, signals)
+    forward_signals(loop, node, signals)
     gc.freeze()
-    gc.set_threshold(GC_AFTER)  # a collection of everything takes longer than a turn should
-    log(node.where)
+    gc.set_threshold(GC_THRESHOLD)
+    log(node.startup_line)
     loop.run()
     log(f"counters: {COUNTERS.text()}")
     return 0
--- a/reedmount/config.py
+++ b/reedmount/config.py
@@ -1,4 +1,7 @@
-"""The only reader of GW_* and of the platform's file: checks, defaults, and errors that name the key."""
+"""Reads and checks GW_* and the platform's configuration file; errors name the key.
+
+No other module reads either of them.
+"""
 
 from __future__ import annotations
 
@@ -16,25 +19,25 @@
 from reedmount.net.connection import Address, parse_address
 from reedmount.simhost import Options, WireError, read_settings
 
-# What must be a number, and what it must be above; the rest may be 0.
-FIGURES: dict[str, dict[str, float | None]] = {
+# Keys whose value must be a number, with an exclusive lower bound; None allows 0.
+NUMERIC_KEYS: dict[str, dict[str, float | None]] = {
     "": {"balancers": 0, "over_share_worth": None},
     "specifics": {"retransmit": None, "clear_wait": None},
     "rules": {"cold": None, "start_capacity": None, "fall_multiple": None, "tip_after": None},
     "allowed": {"max_attempts": 0.5},
 }
-CLASS_FIGURES: dict[str, float | None] = {"deadline": 0, "target": 0, "worth": None, "late_share": None}
-MAX_DIGITS = 15  # of microseconds: a span of 31 years
-RELEASE_MARGIN = millis(30)  # a message has its way to go, and that to another server may be shorter
+NUMERIC_CLASS_KEYS: dict[str, float | None] = {"deadline": 0, "target": 0, "worth": None, "late_share": None}
+MAX_DIGITS = 15  # of a number of microseconds: 31 years
+RELEASE_MARGIN = millis(30)  # a release takes time in transit, and a set-up to another server may take less
 
 
 class ConfigError(ValueError):
-    """A setting that is missing or wrong; the text names its key."""
+    """A setting is missing or invalid; the message names its key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """All that a border controller on the platform is told."""
+    """The complete configuration of a border controller on the platform."""
 
     name: str
     listen: Address
@@ -42,23 +45,26 @@
     sockets: int
     board: Address
     control: Address | None
-    handover: Path | None  # the folder in which a successor finds this process
-    known_last: int
+    handover: Path | None  # the directory in which a successor finds this process
+    known_revision: int
     known: list[Notice]
     settings: i.Settings
     connect_wait: timedelta
-    idle_wait: timedelta | None  # a call server closes a connection that has been idle for so long
-    keys: frozenset[str]  # that the file has
+    idle_wait: timedelta | None  # after which a call server closes an idle connection
+    keys: frozenset[str]  # present in the file
+
+    def checked_against(self, old: Platform) -> Platform:
+        """Return self if it has all keys of the old configuration, else raise ConfigError.
 
-    def follows(self, old: Platform) -> Platform:
-        """Itself, where it has all that the one before had: some keys have a default at the first start."""
+        Some keys have a default, which is meant for the first start only.
+        """
         for key in sorted(old.keys - self.keys):
             raise ConfigError(f"{key} is missing")
         return self
 
 
 def flatten(value: Any, path: str = "") -> Iterator[str]:
-    """Nested settings as the path=value pairs of the simulator's wire, for its reader to read."""
+    """Convert nested settings to the path=value pairs of the simulator's protocol, for its reader."""
     match value:
         case dict():
             for key, item in value.items():
@@ -79,15 +85,15 @@
     return "" if value is None else str(value)
 
 
-def need(source: Mapping[str, Any], key: str, path: str = "") -> Any:
-    """A key that must be there."""
+def require(source: Mapping[str, Any], key: str, path: str = "") -> Any:
+    """The value of a mandatory key."""
     if key not in source:
         raise ConfigError(f"{path}{key} is missing")
     return source[key]
 
 
 def address(value: Any, key: str) -> Address:
-    """An address with a port."""
+    """Parse an address with a port."""
     try:
         return parse_address(str(value))
     except ValueError as error:
@@ -95,8 +101,8 @@
 
 
 def read_platform(env: Mapping[str, str]) -> Platform:
-    """GW_CONFIG, with GW_NAME and GW_LISTEN before what it says."""
-    path = need(env, "GW_CONFIG")
+    """Read the file that GW_CONFIG names; GW_NAME, GW_LISTEN and GW_CONTROL override it."""
+    path = require(env, "GW_CONFIG")
     try:
         config = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -105,10 +111,10 @@
         raise ConfigError(f"GW_CONFIG: not JSON: {error}") from None
     if not isinstance(config, dict):
         raise ConfigError("GW_CONFIG: not an object")
-    listen = env.get("GW_LISTEN") or need(config, "listen")
-    seed = str(need(config, "seed"))
+    listen = env.get("GW_LISTEN") or require(config, "listen")
+    seed = str(require(config, "seed"))
     try:
-        known_last, known = read_notices(need(config, "known"))
+        known_revision, known = read_notices(require(config, "known"))
     except BoardError as error:
         raise ConfigError(f"known: {error}") from None
     try:
@@ -116,42 +122,42 @@
     except ValueError:
         raise ConfigError(f"seed: not hex digits: {seed!r}") from None
     control = env.get("GW_CONTROL") or config.get("control")
-    check_settings(need(config, "settings"))
+    check_settings(require(config, "settings"))
     options = list(flatten(config["settings"]))
     limits = config.get("limits", {})
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 64:
         raise ConfigError(f"limits.sockets: not a number of 64 or more: {sockets!r}")
     return Platform(
-        name=env.get("GW_NAME") or str(need(config, "name")),
+        name=env.get("GW_NAME") or str(require(config, "name")),
         listen=address(listen, "GW_LISTEN" if env.get("GW_LISTEN") else "listen"),
         seed=number,
         sockets=sockets,
-        board=address(need(config, "board"), "board"),
+        board=address(require(config, "board"), "board"),
         control=address(control, "GW_CONTROL" if env.get("GW_CONTROL") else "control") if control else None,
         handover=Path(env["TMPDIR"]) if env.get("TMPDIR") else None,
-        known_last=known_last,
+        known_revision=known_revision,
         known=known,
-        settings=on_sockets(options),
-        connect_wait=span_of(options, "allowed.connect_timeout") or millis(500),
-        idle_wait=span_of(options, "allowed.conn_idle"),
-        keys=frozenset(keys_of({key: item for key, item in config.items() if key != "known"})),
+        settings=platform_settings(options),
+        connect_wait=read_span(options, "allowed.connect_timeout") or millis(500),
+        idle_wait=read_span(options, "allowed.conn_idle"),
+        keys=frozenset(nested_keys({key: item for key, item in config.items() if key != "known"})),
     )
 
 
-def keys_of(value: Any, path: str = "") -> Iterator[str]:
-    """The keys of nested objects; of the classes those that all of them have."""
+def nested_keys(value: Any, path: str = "") -> Iterator[str]:
+    """The key paths of nested objects; for the list of classes, the keys that all classes have."""
     if isinstance(value, dict):
         for key, item in value.items():
             yield f"{path}{key}"
-            yield from keys_of(item, f"{path}{key}.")
+            yield from nested_keys(item, f"{path}{key}.")
     elif path == "settings.classes.":
-        yield from set.intersection(*({*keys_of(item, path)} for item in value)) - {f"{path}aim_stretch"}
+        yield from set.intersection(*({*nested_keys(item, path)} for item in value)) - {f"{path}aim_stretch"}
 
 
-def figure(source: Any, key: str, path: str, above: float | None = None) -> None:
-    """A number that must be there, finite and not below 0, or above a bound."""
-    value = need(source, key, path)
+def check_number(source: Any, key: str, path: str, above: float | None = None) -> None:
+    """Check a mandatory number: finite, and at least 0 or above an exclusive lower bound."""
+    value = require(source, key, path)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise ConfigError(f"{path}{key}: not a number: {value!r}")
     if value < 0 or above is not None and value <= above:
@@ -159,30 +165,30 @@
 
 
 def check_settings(raw: Any) -> None:
-    """What the wire's text would not show any more: what is no number, no class, or no object at all."""
+    """Check the types of the raw settings, which are lost once they are flattened to text."""
     if not isinstance(raw, dict) or not raw:
         raise ConfigError("settings: not an object with keys")
-    for table, keys in FIGURES.items():
-        part = need(raw, table, "settings.") if table else raw
+    for table, keys in NUMERIC_KEYS.items():
+        part = require(raw, table, "settings.") if table else raw
         path = f"settings.{table}.".replace("..", ".")
         if not isinstance(part, dict):
             raise ConfigError(f"settings.{table}: not an object")
         for key, above in keys.items():
-            figure(part, key, path, above)
-    classes = need(raw, "classes", "settings.")
+            check_number(part, key, path, above)
+    classes = require(raw, "classes", "settings.")
     if not isinstance(classes, list) or not classes or not all(isinstance(kind, dict) for kind in classes):
         raise ConfigError("settings.classes: not a list of classes")
     for index, kind in enumerate(classes):
         path = f"settings.classes.{index}."
-        name = need(kind, "name", path)
+        name = require(kind, "name", path)
         if not isinstance(name, str) or not name or name in [kind["name"] for kind in classes[:index]]:
             raise ConfigError(f"{path}name: not a name of its own: {name!r}")
-        for key, above in CLASS_FIGURES.items():
-            figure(kind, key, path, above)
+        for key, above in NUMERIC_CLASS_KEYS.items():
+            check_number(kind, key, path, above)
 
 
-def on_sockets(options: list[str]) -> i.Settings:
-    """The module's settings, read as the simulator's adapter reads them, with room for the way."""
+def platform_settings(options: list[str]) -> i.Settings:
+    """The decision module's settings, read as by the simulator's adapter, with a margin for transit times."""
     try:
         plain = read_settings(options)
     except WireError as error:
@@ -190,8 +196,8 @@
     return replace(plain, release_wait_us=plain.release_wait_us + span_micros(RELEASE_MARGIN))
 
 
-def span_of(options: list[str], key: str) -> timedelta | None:
-    """A span above 0, in microseconds; None where it is not told, or 0."""
+def read_span(options: list[str], key: str) -> timedelta | None:
+    """Read a span in microseconds; None if it is missing or 0."""
     text = Options(options).maybe(key)
     if text and not (text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS):
         raise ConfigError(f"settings.{key}: not a whole number of microseconds: {text!r}")
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -1,4 +1,4 @@
-"""The border controller of an operator's file: the SIP front, and one pool from the sources it names."""
+"""Builds the border controller of an operator's file: the SIP front, and one pool fed by its sources."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     from reedmount.store.writer import Writer
 
 POOL, MEMBERS, COPIES, RECORDS = "/admin/pool", "/admin/members", "/admin/copies", "/admin/records"
-SOURCES = (BOARD, FIXED, ZONE, SRV)  # in this order where they name a server differently
+SOURCE_PRIORITY = (BOARD, FIXED, ZONE, SRV)  # highest first, if they describe a server differently
 
 
 class Sources:
-    """All that tells of call servers, as the file has it now."""
+    """All sources of call servers that the operator's file configures."""
 
     def __init__(self, loop: Loop, switch: Switch, config: OperatorConfig, seed: int) -> None:
         self._loop, self._config = loop, config
         self._rng = random.Random(seed)
-        self.host = PoolHost(loop, switch, config.pool, SOURCES)
+        self.host = PoolHost(loop, switch, config.pool, SOURCE_PRIORITY)
         self._master: Master | None = None
         self._zone: ZoneSource | None = None
         self._srv: SrvSource | None = None
@@ -66,8 +66,8 @@
         if config.srv is not None:
             self._open_srv(config)
 
-    def settle(self, config: OperatorConfig) -> None:
-        """The file has been read again. All of it is checked by now; the zone's file is read first."""
+    def apply_config(self, config: OperatorConfig) -> None:
+        """Apply a reloaded and checked file. The zone file is read first, since it may be invalid."""
         records = load_zone(config.zone, config.origin) if config.zone is not None else None
         old, self._config = self._config, config
         if config.pool != old.pool:
@@ -76,9 +76,9 @@
             publish_fixed(self.host, config.fixed)
         else:
             self.host.drop(FIXED)
-        self._settle_zone(config, records)
+        self._apply_zone(config, records)
         if config.board != old.board:
-            self._settle_board(config.board)
+            self._apply_board(config.board)
         if self._srv is None and config.srv is not None:
             self._open_srv(config)
         elif self._srv is not None and config.srv is not None:
@@ -100,7 +100,7 @@
             self._master = Master(zone, config.updates.policy, self._zone.changed)
             self.updates = UpdateServer(self._loop, config.updates.listen, self._master)
 
-    def _settle_zone(self, config: OperatorConfig, zone: dns.zone.Zone | None) -> None:
+    def _apply_zone(self, config: OperatorConfig, zone: dns.zone.Zone | None) -> None:
         if zone is None:
             self.host.drop(ZONE)
             self._zone = None
@@ -117,7 +117,7 @@
         listed.start(0, [])
         self._board = Board(self._loop, address, listed)
 
-    def _settle_board(self, address: Address | None) -> None:
+    def _apply_board(self, address: Address | None) -> None:
         if address is None:
             if self._board is not None:
                 self._board.close()
@@ -135,61 +135,64 @@
 
 
 def serve_sip(loop: Loop, read: Callable[[], OperatorConfig]) -> Node:
-    """Build it. Raises ConfigError, which names the key or the zone's line, and OSError of a listener."""
+    """Build the node. Raises ConfigError, which names the key or the zone's line, or a listener's OSError."""
     config = read()
     seed = int.from_bytes(os.urandom(8), "big")
-    made = Node(loop, config.settings, seed)
-    front = SipFront(loop, made.switch, config.sip, seed)
-    made.switch.attach(SipServers(front))
+    node = Node(loop, config.settings, seed)
+    front = SipFront(loop, node.switch, config.sip, seed)
+    node.switch.attach(SipServers(front))
     try:
-        sources = Sources(loop, made.switch, config, seed)
+        sources = Sources(loop, node.switch, config, seed)
     except ZoneError as error:
         raise ConfigError(str(error)) from None
     front.first_choice = sources.host.first_choice
-    membership = _open_peers(loop, made, config)
+    membership = _open_membership(loop, node, config)
     if membership is not None:
-        membership.on_change(lambda _: made.settle(_shared(config.settings, membership)))
-    copies = _open_copies(loop, made, front, membership, config)
-    hearsay = _open_hearsay(sources.host, membership, config)
-    views: dict[str, View] = {POOL: lambda query: sources.host.view(_after(query))}
+        membership.on_change(lambda _: node.update_settings(_shared_settings(config.settings, membership)))
+    replicas = _open_replicas(loop, node, front, membership, config)
+    member_reports = _open_member_reports(sources.host, membership, config)
+    views: dict[str, View] = {POOL: lambda query: sources.host.view(_page_offset(query))}
     if membership is not None:
         views[MEMBERS] = lambda query: {
-            **membership.view(query), "shared_among": made.switch.settings.instances,
-            "call_servers": None if hearsay is None else hearsay.view(),
+            **membership.view(query), "shared_among": node.switch.settings.instances,
+            "call_servers": None if member_reports is None else member_reports.view(),
         }  # fmt: skip
-    if copies is not None:
-        held, keeper = copies
-        views[COPIES], views[RECORDS] = lambda _: held.view(), keeper.view
-    made.open_admin_server(config.control, views)
-    made.where = f"SIP served at {format_address(front.endpoint.address)}, call servers from {_named(config)}"
-    made.parts = (front, sources, membership, hearsay, copies)
-
-    def reread() -> None:
+    if replicas is not None:
+        replication, call_records = replicas
+        views[COPIES], views[RECORDS] = lambda _: replication.view(), call_records.view
+    node.open_admin_server(config.control, views)
+    node.startup_line = (
+        f"SIP served at {format_address(front.endpoint.address)}, "
+        f"call servers from {_describe_sources(config)}"
+    )
+    node.retained = (front, sources, membership, member_reports, replicas)
+
+    def reload_config() -> None:
         nonlocal config
         fresh = read()
         try:
-            sources.settle(fresh)
+            sources.apply_config(fresh)
         except ZoneError as error:
             raise ConfigError(str(error)) from None
         old, config = config, fresh
-        made.settle(_shared(config.settings, membership))
+        node.update_settings(_shared_settings(config.settings, membership))
         front.settings = config.sip
-        places = [
+        listeners = [
             (item.sip.listen, item.sip.listen6, item.sip.timers,
              item.updates and item.updates.listen, item.control)
             for item in (old, config)
         ]  # fmt: skip
         if (old.members, old.replicas) != (config.members, config.replicas):
-            log("members and replicas are taken at the next start only")
-        if places[0] != places[1]:
-            log("sip.listen, timers, dns.update.listen and door.control are taken at the next start only")
+            log("members and replicas take effect at the next start only")
+        if listeners[0] != listeners[1]:
+            log("sip.listen, timers, dns.update.listen and door.control take effect at the next start only")
 
-    made.on_reload(reread)
-    return made
+    node.on_reload(reload_config)
+    return node
 
 
-def _open_peers(loop: Loop, node: Node, config: OperatorConfig) -> Membership | None:
-    """Be a member of the group, where the file names one; at our end say so: nobody has to find out."""
+def _open_membership(loop: Loop, node: Node, config: OperatorConfig) -> Membership | None:
+    """Join the group, if the file names one; the shutdown is announced, and need not be detected."""
     if config.members is None:
         return None
     from reedmount.peers.membership import Membership
@@ -206,10 +209,10 @@
     return membership
 
 
-def _open_copies(
+def _open_replicas(
     loop: Loop, node: Node, front: SipFront, membership: Membership | None, config: OperatorConfig
 ) -> tuple[Replication, CallRecords] | None:
-    """Hold what is promised of calls for others, and others' for them, where the file says so."""
+    """Replicate call records among the members, if the file says so."""
     if membership is None or config.members is None or config.replicas is None:
         return None
     from reedmount.peers.replication import Replication
@@ -218,22 +221,30 @@
     from reedmount.store.frame import StoreError
     from reedmount.store.log import Log
 
-    members, wanted = config.members, config.replicas
+    members, settings = config.members, config.replicas
     store: Log | None = None
-    make: Callable[[Callable[[int], None], Callable[[bool], None]], Writer] | None = None
-    if wanted.folder is not None:
+    make_writer: Callable[[Callable[[int], None], Callable[[bool], None]], Writer] | None = None
+    if settings.folder is not None:
         try:
-            disk = disk_of(wanted.folder, wanted.disk_faults)
+            disk = disk_of(settings.folder, settings.disk_faults)
             store = Log(disk)
             opened = store.open()
         except (OSError, StoreError) as error:
             raise ConfigError(f"replicas.folder: {error}") from None
         log(f"the store has {len(store)} records; gaps {len(opened.gaps)}, torn {opened.torn} bytes")
-        make = partial(_writer, loop, store, disk, wanted.sync)
+        make_writer = partial(_writer, loop, store, disk, settings.sync)
     replication = Replication(
-        loop, membership, members.name, members.group, members.listen, wanted.faults, store, make, wanted.wait
+        loop,
+        membership,
+        members.name,
+        members.group,
+        members.listen,
+        settings.faults,
+        store,
+        make_writer,
+        settings.wait,
     )
-    return replication, CallRecords(loop, node.switch, front, replication, members.name, wanted.keep_for)
+    return replication, CallRecords(loop, node.switch, front, replication, members.name, settings.keep_for)
 
 
 def _writer(
@@ -245,10 +256,10 @@
     return Writer(loop, store, disk, sync, durable, trouble)
 
 
-def _open_hearsay(
+def _open_member_reports(
     host: PoolHost, membership: Membership | None, config: OperatorConfig
 ) -> MemberReports | None:
-    """Tell others what our sources say of call servers; be careful with those that others saw leave."""
+    """Exchange reports of call servers with the members, and hold back servers that others saw leave."""
     if membership is None or config.members is None or not config.members.max_report_hold:
         return None
     from reedmount.sources.member_reports import MemberReports
@@ -257,8 +268,8 @@
     return MemberReports(host, membership, config.members.name, cold, config.members.max_report_hold)
 
 
-def _shared(settings: i.Settings, membership: Membership | None) -> i.Settings:
-    """Settings that share the call servers among as many as the view has, where it is sure."""
+def _shared_settings(settings: i.Settings, membership: Membership | None) -> i.Settings:
+    """Settings that share the call servers among the live members, as long as there is a quorum."""
     if membership is None:
         return settings
     from reedmount.members.capacity_sharing import sharing_instances
@@ -269,8 +280,8 @@
     )
 
 
-def _named(config: OperatorConfig) -> str:
-    """The sources, for the line at the start."""
+def _describe_sources(config: OperatorConfig) -> str:
+    """The sources, for the startup line."""
     parts = []
     if config.board is not None:
         parts.append(f"the list at {format_address(config.board)}")
@@ -283,7 +294,7 @@
     return "; ".join(parts)
 
 
-def _after(query: dict[str, str]) -> int:
-    """The page that is asked for; what is no number is the first."""
+def _page_offset(query: dict[str, str]) -> int:
+    """The item after which the requested page starts; 0 if it is not a number."""
     text = query.get("after", "0")
     return int(text) if text.isdecimal() and len(text) < 9 else 0
--- a/reedmount/operator_file.py
+++ b/reedmount/operator_file.py
@@ -1,4 +1,7 @@
-"""The only reader of operator files: typed tables, defaults, and errors that name the key."""
+"""Reads and checks operator files: typed tables, defaults, and errors that name the key.
+
+No other module reads them.
+"""
 
 from __future__ import annotations
 
@@ -35,12 +38,12 @@
     from reedmount.peers.settings import MembershipSettings
     from reedmount.records.settings import ReplicaSettings
 
-WAY_BACK = "sip.listen6: call servers have to find their way back"
+IPV6_REQUIREMENT = "sip.listen6: call servers need an IPv6 address to send to"
 
 
 @dataclass(frozen=True, slots=True)
 class Updates:
-    """Where dynamic updates are taken, and from whom."""
+    """Where DNS dynamic updates are accepted, and from whom."""
 
     listen: Address
     policy: Policy
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """All that an operator's file says."""
+    """The complete configuration of an operator's file."""
 
     sip: SipSettings
     zone: Path | None
@@ -99,46 +102,46 @@
     transports = dns_table.texts("transports", list(TRANSPORTS))
     if not transports or any(item not in TRANSPORTS for item in transports):
         raise ConfigError(f"dns.transports: of {TRANSPORTS} wanted, not {transports!r}")
-    updates, door = dns_table.table("update"), top.table("door")
-    made = OperatorConfig(
+    updates, admin = dns_table.table("update"), top.table("door")
+    config = OperatorConfig(
         sip=sip_settings,
         zone=path.parent / dns_table.get("zone", str) if top.has("dns") else None,
         origin=dns_table.get("origin", str, "") or None,
         transports=tuple(transports),
         write_back=dns_table.get("write_back", bool, False),
         updates=_updates(updates) if dns_table.has("update") else None,
-        control=address(door.get("control", str), "door.control") if top.has("door") else None,
+        control=address(admin.get("control", str), "door.control") if top.has("door") else None,
         settings=_module(module, classes),
         pool=_pool(pool),
         board=numeric(pool.get("board", str), f"{pool.path}.board") if pool.has("board") else None,
         fixed=tuple(_fixed(pool)),
-        srv=read_srv(srv, None if listen6 else WAY_BACK) if top.has("srv") else None,
+        srv=read_srv(srv, None if listen6 else IPV6_REQUIREMENT) if top.has("srv") else None,
         members=group,
         replicas=_replicas(replicas, path.parent, group) if top.has("replicas") else None,
     )
-    for table in (top, sip, dns_table, updates, door, module, pool, srv, members, replicas):
+    for table in (top, sip, dns_table, updates, admin, module, pool, srv, members, replicas):
         table.done()
-    if made.zone is None and made.board is None and not made.fixed and made.srv is None:
+    if config.zone is None and config.board is None and not config.fixed and config.srv is None:
         raise ConfigError("no source of call servers: dns.zone, pool.board, pool.servers or srv.names")
-    return made
+    return config
 
 
 def _members(table: Table) -> MembershipSettings:
-    """Read by the part itself, whose libraries are imported only where the table is there."""
+    """Import the reader, and with it the libraries of the membership, only if the table is present."""
     try:
         from reedmount.peers.reader import read_members
     except ImportError as error:
-        raise ConfigError(f"members: needs what requirements-fleet.txt names: {error}") from None
+        raise ConfigError(f"members: install the packages of requirements-fleet.txt: {error}") from None
     return read_members(table)
 
 
 def _replicas(table: Table, base: Path, group: MembershipSettings | None) -> ReplicaSettings:
     if group is None:
-        raise ConfigError(f"{table.path}: there is no [members]")
+        raise ConfigError(f"{table.path}: needs a table [members]")
     try:
         from reedmount.records.settings import read_replicas
     except ImportError as error:
-        raise ConfigError(f"{table.path}: needs what requirements-fleet.txt names: {error}") from None
+        raise ConfigError(f"{table.path}: install the packages of requirements-fleet.txt: {error}") from None
     return read_replicas(table, base, len(group.voter_sets[0].names))
 
 
@@ -168,12 +171,12 @@
 
 
 def _fixed(table: Table) -> Iterator[Claim]:
-    """``udp:192.0.2.1:5060``; the transport may be left out and is TCP then."""
+    """Parse entries like ``udp:192.0.2.1:5060``; the transport is optional and defaults to TCP."""
     for text in table.texts("servers", []):
-        transport, colon, place = text.partition(":")
+        transport, colon, endpoint = text.partition(":")
         if not colon or transport not in TRANSPORTS:
-            transport, place = "tcp", text
-        yield Claim(numeric(place, f"{table.path}.servers"), text, transport=transport)
+            transport, endpoint = "tcp", text
+        yield Claim(numeric(endpoint, f"{table.path}.servers"), text, transport=transport)
 
 
 def _classes(top: Table) -> tuple[tuple[i.CallClass, ...], tuple[tuple[str, str], ...]]:
--- a/reedmount/tables.py
+++ b/reedmount/tables.py
@@ -1,4 +1,4 @@
-"""Tables of an operator's file: typed, bounded, and no key that nobody asked for."""
+"""Tables of an operator's file: typed and bounded values, and errors for unknown keys."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from reedmount.core.clock import millis
 from reedmount.net.connection import Address
 
-T = TypeVar("T")
-N = TypeVar("N", int, float)
+Value = TypeVar("Value")
+Number = TypeVar("Number", int, float)
 
 
 class Table:
-    """One table of the file; what is asked for is checked, and what was never asked for is a fault."""
+    """One table of the file; values are checked when read, and keys that were never read are errors."""
 
     def __init__(self, values: Any, path: str) -> None:
         if not isinstance(values, dict):
             raise ConfigError(f"{path} is not a table")
-        self._values, self.path, self._asked = values, path, set[str]()
+        self._values, self.path, self._read_keys = values, path, set[str]()
 
-    def get(self, key: str, kind: type[T], default: T | None = None) -> T:
-        """A value of a kind; without a default it must be there."""
-        self._asked.add(key)
+    def get(self, key: str, kind: type[Value], default: Value | None = None) -> Value:
+        """A value of a given type; without a default it is mandatory."""
+        self._read_keys.add(key)
         value = self._values.get(key, default)
         if value is None:
             raise ConfigError(f"{self.path}.{key} is missing")
@@ -34,20 +34,22 @@
             raise ConfigError(f"{self.path}.{key}: {kind.__name__} wanted, not {value!r}")
         return value
 
-    def amount(self, key: str, kind: type[N], default: N | None, least: N, most: N) -> N:
+    def amount(
+        self, key: str, kind: type[Number], default: Number | None, minimum: Number, maximum: Number
+    ) -> Number:
         """A number within bounds."""
         value = self.get(key, kind, default)
-        if not least <= value <= most:
-            raise ConfigError(f"{self.path}.{key}: {value} is not within {least} and {most}")
+        if not minimum <= value <= maximum:
+            raise ConfigError(f"{self.path}.{key}: {value} is not within {minimum} and {maximum}")
         return value
 
-    def span(self, key: str, default: int | None, least: int = 1, most: int = 3_600_000) -> timedelta:
+    def span(self, key: str, default: int | None, minimum: int = 1, maximum: int = 3_600_000) -> timedelta:
         """A span given in whole milliseconds."""
-        return millis(self.amount(key, int, default, least, most))
+        return millis(self.amount(key, int, default, minimum, maximum))
 
-    def seconds(self, key: str, default: float, least: float, most: float) -> timedelta:
+    def seconds(self, key: str, default: float, minimum: float, maximum: float) -> timedelta:
         """A span given in seconds."""
-        return timedelta(seconds=self.amount(key, float, default, least, most))
+        return timedelta(seconds=self.amount(key, float, default, minimum, maximum))
 
     def texts(self, key: str, default: list[str]) -> list[str]:
         """A list of strings."""
@@ -57,8 +59,8 @@
         return values
 
     def table(self, key: str) -> Table:
-        """A table within this one; one that is not there is empty."""
-        self._asked.add(key)
+        """A nested table; a missing one is empty."""
+        self._read_keys.add(key)
         return Table(self._values.get(key, {}), f"{self.path}.{key}".lstrip("."))
 
     def tables(self, key: str) -> list[Table]:
@@ -67,18 +69,18 @@
         return [Table(value, f"{self.path}.{key}[{n}]".lstrip(".")) for n, value in enumerate(values)]
 
     def has(self, key: str) -> bool:
-        """Whether it is there."""
+        """Whether the key is present."""
         return key in self._values
 
     def done(self) -> None:
-        """A key that nobody asked for is a misspelt one."""
+        """Raise ConfigError for a key that was never read: it is misspelt."""
         for key in self._values:
-            if key not in self._asked:
+            if key not in self._read_keys:
                 raise ConfigError(f"{self.path}.{key}".lstrip(".") + " is not known")
 
 
 def numeric(text: str, key: str) -> Address:
-    """An address with a port, with no name in it that would have to be looked up."""
+    """Parse a numeric address with a port; a host name, which would need a look-up, is an error."""
     found = address(text, key)
     try:
         ipaddress.ip_address(found[0])
--- a/standins/site.py
+++ b/standins/site.py
@@ -123,7 +123,7 @@
     def start(self) -> None:
         """Start the program."""
         self.node = serve_sip(self.loop, lambda: read_operator(self.file))
-        parts = self.node.parts
+        parts = self.node.retained
         assert isinstance(parts, tuple)
         self.front, sources, *_ = parts
         assert isinstance(sources, Sources)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: just the tests that ``KNOWN-RED.txt`` lists may fail, three at most, and each is printed.
+"""Known failures: only the tests listed in ``KNOWN-RED.txt`` may fail, at most three, and each is printed.
 
 A line reads ``TEST | CAUSE | ISSUE``. A listed test that passes is an error, and so is one that is missing.
 """
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A test that fails for a fault that is not mended yet."""
+    """A test that fails because of a fault that is not fixed yet."""
 
     test: str
     cause: str
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: the platform's and the operator's, what is wrong with it named by its key."""
+"""Configuration of the platform and of operators; each error names its key."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def changed(**changes: Any) -> dict[str, Any]:
-    """The settings with another class."""
+    """The settings with a changed class."""
     return {**SETTINGS, "classes": [{**SETTINGS["classes"][0], **changes}]}  # type: ignore[index]
 
 
-def allowed(**changes: Any) -> dict[str, Any]:
-    """The settings with other permissions."""
+def settings_allowing(**changes: Any) -> dict[str, Any]:
+    """The settings with changed values under ``allowed``."""
     return {**SETTINGS, "allowed": {**SETTINGS["allowed"], **changes}}  # type: ignore[dict-item]
 
 
@@ -52,17 +52,17 @@
 
 def test_the_platform_s_settings_are_read_as_the_adapter_reads_them(tmp_path: Path) -> None:
     read = platform(tmp_path, {"GW_NAME": "n9", "GW_LISTEN": "127.0.0.1:77"})
-    assert (read.name, read.listen, read.seed, read.known_last) == ("n9", ("127.0.0.1", 77), 0x8C1F, 1)
+    assert (read.name, read.listen, read.seed, read.known_revision) == ("n9", ("127.0.0.1", 77), 0x8C1F, 1)
     assert read.connect_wait == timedelta(milliseconds=250) and read.idle_wait is None
     assert read.settings.max_retry_after_us == 2_000_000
-    more = platform(tmp_path, settings=allowed(conn_idle=9_000_000, max_retry_after=800_000))
+    more = platform(tmp_path, settings=settings_allowing(conn_idle=9_000_000, max_retry_after=800_000))
     assert more.idle_wait == timedelta(seconds=9) and more.settings.max_retry_after_us == 800_000
-    assert platform(tmp_path, settings=allowed(retry_after=False)).settings.max_retry_after_us == 0
+    assert platform(tmp_path, settings=settings_allowing(retry_after=False)).settings.max_retry_after_us == 0
     assert read.settings.classes[0].servers == (0, 1) and read.settings.may_cancel
-    assert read.settings.release_wait_us == 330_000, "and what a message takes on its way"
+    assert read.settings.release_wait_us == 330_000, "with the margin for transit times"
 
 
-def test_nested_settings_become_the_paths_of_the_wire() -> None:
+def test_nested_settings_become_the_paths_of_the_simulator_s_protocol() -> None:
     nested = read_settings([*flatten(SETTINGS), "specifics.pools_by_class.0="])
     wire = read_settings(OPTIONS)
     assert nested == wire
@@ -92,12 +92,21 @@
         ({"settings": {**SETTINGS, "allowed": {"max_attempts": 0}}}, "allowed.max_attempts: not above"),
         ({"settings": {**SETTINGS, "allowed": {"max_attempts": False}}}, "max_attempts: not a number: False"),
         ({"limits": {"sockets": True}}, "limits.sockets"),
-        ({"settings": allowed(max_retry_after="soon")}, "allowed.max_retry_after is not a number: 'soon'"),
-        ({"settings": allowed(conn_idle=-1)}, "allowed.conn_idle: not a whole number of microseconds"),
-        ({"settings": allowed(connect_timeout=0.5)}, "settings.allowed.connect_timeout: not a whole number"),
+        (
+            {"settings": settings_allowing(max_retry_after="soon")},
+            "allowed.max_retry_after is not a number: 'soon'",
+        ),
+        (
+            {"settings": settings_allowing(conn_idle=-1)},
+            "allowed.conn_idle: not a whole number of microseconds",
+        ),
+        (
+            {"settings": settings_allowing(connect_timeout=0.5)},
+            "settings.allowed.connect_timeout: not a whole number",
+        ),
     ],
 )
-def test_a_fault_of_the_platform_s_configuration_is_named(
+def test_an_error_in_the_platform_s_configuration_names_its_key(
     tmp_path: Path, changes: dict[str, Any], fault: str
 ) -> None:
     with pytest.raises(ConfigError) as caught:
@@ -105,21 +114,24 @@
     assert fault in str(caught.value)
 
 
-def test_a_file_that_lacks_what_the_one_before_had_is_not_taken(tmp_path: Path) -> None:
-    """Some keys have a default at the first start: without `limits`, 1,024 descriptors were assumed."""
+def test_a_reloaded_file_that_lacks_a_key_of_the_old_one_is_refused(tmp_path: Path) -> None:
+    """Some keys have a default at the first start: a reload without `limits` set 1,024 descriptors."""
     old = platform(tmp_path)
     second = {**SETTINGS["classes"][0], "name": "second", "more": 1}  # type: ignore[index]
-    assert platform(tmp_path, settings={**SETTINGS, "classes": [second, *SETTINGS["classes"]]}).follows(old)  # type: ignore[misc]
+    assert platform(
+        tmp_path,
+        settings={**SETTINGS, "classes": [second, *SETTINGS["classes"]]},  # type: ignore[misc]
+    ).checked_against(old)
     for fault, changes in (
         ("limits is missing", {"limits": None}),
         ("settings.allowed.cancel is missing", {"settings": {**SETTINGS, "allowed": {"max_attempts": 4}}}),
         ("settings.clients is missing", {"settings": {k: v for k, v in SETTINGS.items() if k != "clients"}}),
     ):
         with pytest.raises(ConfigError, match=fault):
-            platform(tmp_path, **changes).follows(old)
+            platform(tmp_path, **changes).checked_against(old)
 
 
-def test_a_configuration_that_is_not_there_or_no_json_is_named(tmp_path: Path) -> None:
+def test_a_missing_or_malformed_json_configuration_is_refused(tmp_path: Path) -> None:
     for text in ("", "[]", '{"name": "n3", "listen'):
         (tmp_path / "config.json").write_text(text)
         with pytest.raises(ConfigError, match="GW_CONFIG: not"):
@@ -133,7 +145,7 @@
             read_platform(env)
 
 
-def test_the_operator_s_file_in_deploy_is_read() -> None:
+def test_the_shipped_operator_file_is_read() -> None:
     read = read_operator(ROOT / "deploy" / "sip.toml")
     assert read.sip.class_of("0800123", None) == "assist-call"
     assert read.sip.class_of("123", None) == "quote-call"
@@ -163,11 +175,13 @@
         ("# [[dns.update.key]]", '[[dns.update.key]]\nname="k."\nsecret="!"\n', "dns.update.key[0]"),
     ],
 )
-def test_a_fault_of_the_operator_s_file_is_named(tmp_path: Path, old: str, new: str, fault: str) -> None:
-    refused(tmp_path, "sip.toml", old, new, fault)
+def test_an_error_in_the_operator_s_file_names_its_key(
+    tmp_path: Path, old: str, new: str, fault: str
+) -> None:
+    assert_refused(tmp_path, "sip.toml", old, new, fault)
 
 
-def refused(folder: Path, name: str, old: str, new: str, fault: str) -> None:
+def assert_refused(folder: Path, name: str, old: str, new: str, fault: str) -> None:
     text = (ROOT / "deploy" / name).read_text()
     assert old in text
     path = folder / name
@@ -218,8 +232,8 @@
         ("cache_kib = 8192", "cache_kib = 1", "srv.cache_kib"),
     ],
 )
-def test_a_fault_of_pool_and_srv_is_named(tmp_path: Path, old: str, new: str, fault: str) -> None:
-    refused(tmp_path, "srv.toml", old, new, fault)
+def test_an_error_in_pool_and_srv_names_its_key(tmp_path: Path, old: str, new: str, fault: str) -> None:
+    assert_refused(tmp_path, "srv.toml", old, new, fault)
 
 
 def test_a_file_without_any_source_of_call_servers_is_refused(tmp_path: Path) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the sources; the operators no longer cap the decision module alone."""
+"""Limits on the source files of the whole program, not only of the decision module."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-LONGEST_FILE = 680  # lines that are not blank, comments too
+MAX_FILE_LINES = 680  # not blank, including comments
 
 
 def test_every_file_of_the_program_stays_short_and_narrow() -> None:
     for source in sorted((ROOT / "reedmount").rglob("*.py")):
         lines = source.read_text().splitlines()
-        assert sum(1 for line in lines if line.strip()) <= LONGEST_FILE, source.name
+        assert sum(1 for line in lines if line.strip()) <= MAX_FILE_LINES, source.name
         assert all(len(line) <= 110 for line in lines), source.name
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs."""
+"""The example in the README runs."""
 
 from __future__ import annotations
 
