--- a/reedmount/__main__.py
+++ b/reedmount/__main__.py
@@ -64,8 +64,8 @@
 def main(clock: Clock | None = None) -> int:
     """Serve until SIGTERM, using the system's clock unless another is given."""
     parser = argparse.ArgumentParser(prog="reedmount", description="A border controller for call set-ups.")
-    parser.add_argument("--operator", metavar="FILE", type=Path, help="serve SIP as this file says")
-    parser.add_argument("--members", action="store_true", help="on the platform: be a member among its peers")
+    parser.add_argument("--operator", metavar="FILE", type=Path, help="serve SIP as configured in this file")
+    parser.add_argument("--members", action="store_true", help="on the platform: join the group of its peers")
     arguments = parser.parse_args()
     operator: Path | None = arguments.operator
     signals = catch_signals()
--- a/reedmount/fronts/call_servers.py
+++ b/reedmount/fronts/call_servers.py
@@ -108,7 +108,7 @@
         ]
 
     def send_probe(self, connection: ServerConnection) -> None:
-        """Send a probe; any message that comes back shows that the connection works."""
+        """Send a probe; any message received in return shows that the connection works."""
         connection.queue(Outgoing(test(), "out.server.OPTIONS", is_probe=True))
 
     def close_silent(self, connection: ServerConnection) -> None:
@@ -144,8 +144,8 @@
     @property
     def _needs_connection(self) -> bool:
         """Whether calls are established, releases wait here, or some from before our start may wait there."""
-        awaits_first = self._entry.serving and not self._has_connected
-        return bool(self.established_calls or self._pending_releases) or awaits_first
+        awaits_first_connection = self._entry.serving and not self._has_connected
+        return bool(self.established_calls or self._pending_releases) or awaits_first_connection
 
     def _handle(self, event: ServerEvent) -> None:
         match event:
@@ -169,8 +169,8 @@
     # --- the list ---
 
     def _update_entry(self, entry: ListedServer) -> None:
-        known, self._entry = self._entry, entry
-        if entry.started is not None and (known.started is None or entry.started > known.started):
+        previous, self._entry = self._entry, entry
+        if entry.started is not None and (previous.started is None or entry.started > previous.started):
             # The process restarted under the same name: calls established at the old one are lost.
             self._switch.server_lost(entry.server, "its process was restarted", entry.started)
         if entry.serving:
@@ -407,8 +407,8 @@
 
     def _on_disconnected(self, connection: ServerConnection, how: EndReason) -> None:
         """A connection has ended: open attempts are reset, what was not sent goes to other connections."""
-        known = connection in self._connections
-        if known:
+        active = connection in self._connections
+        if active:
             self._connections.remove(connection)
         elif connection in self._retired:
             self._retired.remove(connection)
@@ -416,31 +416,31 @@
             return
         unreachable = how in (EndReason.REFUSED, EndReason.NEVER_UP)
         # A server at its limit may accept a connection and close it at once; that counts the same.
-        brief = self.loop.clock.now() - connection.transport.opened_at < FIRST_RETRY_DELAY
+        short_lived = self.loop.clock.now() - connection.transport.opened_at < FIRST_RETRY_DELAY
         others = any(other.transport.connected for other in self._connections)
         self.established_calls.connection_lost(connection)
-        if known and (unreachable or brief) and others:
+        if active and (unreachable or short_lived) and others:
             self._connection_limit = max(1, len(self._connections))  # it accepts no more at present
             self.loop.call_later(LIMIT_RESET_AFTER, self._reset_limit)
-        if how is EndReason.REFUSED and known and not self.open_connections() and self.established_calls:
+        if how is EndReason.REFUSED and active and not self.open_connections() and self.established_calls:
             # The server process has ended, and its established calls with it.
             self.established_calls.clear()
             self._switch.server_lost(self._entry.server, "it refuses connections")
         self.loop.trace("server.connection_ended", server=self._entry.server, lane=connection.number,
-                        how=f'"{how.value}"', open=len(connection.attempts), retired=not known)  # fmt: skip
+                        how=f'"{how.value}"', open=len(connection.attempts), retired=not active)  # fmt: skip
         connection.finish_write()
         for attempt in [attempt for attempt in connection.attempts.values() if attempt.sent_at is not None]:
             self._end_attempt(attempt, i.Outcome.RESET)
         self._pending_releases.extend(connection.releases_at_risk())
         self._requeue(connection, unreachable and not others)
-        if unreachable or brief:
-            if brief and self.established_calls:
+        if unreachable or short_lived:
+            if short_lived and self.established_calls:
                 self._releases_at_risk_since = self.loop.clock.now()
             if not self._connections and self._needs_connection:
                 self._schedule_reconnect()
             elif self._releases_at_risk_since is not None:
                 self._schedule_replacement()
-        elif how is not EndReason.CLOSED or known and not self._connections:
+        elif how is not EndReason.CLOSED or active and not self._connections:
             self._releases_at_risk_since, self._replacement_attempts = (
                 self.loop.clock.now() if self.established_calls else None,
                 0,
--- a/reedmount/fronts/established_calls.py
+++ b/reedmount/fronts/established_calls.py
@@ -190,8 +190,8 @@
             self.drop_all(SILENT)
             return
         calls = self._calls.items()
-        over = [name for name, call in calls if call.lost_at is not None and call.lost_at <= now]
-        self._drop(over, CONNECTION_SILENT)
+        lost = [name for name, call in calls if call.lost_at is not None and call.lost_at <= now]
+        self._drop(lost, CONNECTION_SILENT)
         if self._contradicted_at is not None and now - self._contradicted_at >= CONTRADICTION_PERIOD:
             self._contradicted_at = None
             self._drop(self._calls_due_in_reports(), TOO_FEW_LINES)
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -66,7 +66,7 @@
         if config.srv is not None:
             self._open_srv(config)
 
-    def apply_config(self, config: OperatorConfig) -> None:
+    def update_settings(self, config: OperatorConfig) -> None:
         """Apply a reloaded and checked file. The zone file is read first, since it may be invalid."""
         records = load_zone(config.zone, config.origin) if config.zone is not None else None
         old, self._config = self._config, config
@@ -171,7 +171,7 @@
         nonlocal config
         fresh = read()
         try:
-            sources.apply_config(fresh)
+            sources.update_settings(fresh)
         except ZoneError as error:
             raise ConfigError(str(error)) from None
         old, config = config, fresh
@@ -212,7 +212,7 @@
 def _open_replicas(
     loop: Loop, node: Node, front: SipFront, membership: Membership | None, config: OperatorConfig
 ) -> tuple[Replication, CallRecords] | None:
-    """Replicate call records among the members, if the file says so."""
+    """Replicate call records among the members, if the file configures it."""
     if membership is None or config.members is None or config.replicas is None:
         return None
     from reedmount.peers.replication import Replication
--- a/reedmount/tables.py
+++ b/reedmount/tables.py
@@ -10,8 +10,8 @@
 from reedmount.core.clock import millis
 from reedmount.net.connection import Address
 
-Value = TypeVar("Value")
-Number = TypeVar("Number", int, float)
+T = TypeVar("T")
+N = TypeVar("N", int, float)
 
 
 class Table:
@@ -22,7 +22,7 @@
             raise ConfigError(f"{path} is not a table")
         self._values, self.path, self._read_keys = values, path, set[str]()
 
-    def get(self, key: str, kind: type[Value], default: Value | None = None) -> Value:
+    def get(self, key: str, kind: type[T], default: T | None = None) -> T:
         """A value of a given type; without a default it is mandatory."""
         self._read_keys.add(key)
         value = self._values.get(key, default)
@@ -34,9 +34,7 @@
             raise ConfigError(f"{self.path}.{key}: {kind.__name__} wanted, not {value!r}")
         return value
 
-    def amount(
-        self, key: str, kind: type[Number], default: Number | None, minimum: Number, maximum: Number
-    ) -> Number:
+    def amount(self, key: str, kind: type[N], default: N | None, minimum: N, maximum: N) -> N:
         """A number within bounds."""
         value = self.get(key, kind, default)
         if not minimum <= value <= maximum:
--- a/standins/site.py
+++ b/standins/site.py
@@ -123,9 +123,9 @@
     def start(self) -> None:
         """Start the program."""
         self.node = serve_sip(self.loop, lambda: read_operator(self.file))
-        parts = self.node.retained
-        assert isinstance(parts, tuple)
-        self.front, sources, *_ = parts
+        retained = self.node.retained
+        assert isinstance(retained, tuple)
+        self.front, sources, *_ = retained
         assert isinstance(sources, Sources)
         self.sources, self.host = sources, sources.host
         self.settle()
