--- a/reedmount/operator_file.py
+++ b/reedmount/operator_file.py
@@ -137,7 +137,7 @@
 
 def _replicas(table: Table, base: Path, group: MembershipSettings | None) -> ReplicaSettings:
     if group is None:
-        raise ConfigError(f"{table.path}: needs a table [members]")
+        raise ConfigError(f"{table.path}: there is no [members]")
     try:
         from reedmount.records.settings import read_replicas
     except ImportError as error:
