--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -180,10 +180,10 @@
     for name in ("c1", "c2", "c3", "c4"):
         stage.call_servers.send(Setup(digits(name), 0, "server", "small", "47", timedelta(seconds=9), b""))
         stage.play(f"server expect INVITE {name}")
-    assert stage.call_servers._peers["server"].connections == 2
+    assert stage.call_servers._peers["server"].connection_count == 2
     stage.peer("second", "thin")
     stage.set_servers("server", "second")
-    assert stage.call_servers._peers["second"].connections == 1
+    assert stage.call_servers._peers["second"].connection_count == 1
 
 
 def test_idle_clients_are_evicted_when_descriptors_are_needed() -> None:
