--- a/reedmount/members/shares.py
+++ b/reedmount/members/capacity_sharing.py
@@ -9,17 +9,17 @@
 
 of what the whole may be, with the most at x = c. The module's guard of cold servers leaves at most 13/16 of
 what tips one (docstring of ``_cold_admits``), so 2 - c must stay under 16/13 = 1.23: c is at least 0.77.
-``LEAST_SHARE`` is 0.8: 1.2 times 13/16 is 0.975 of what tips it.
+``MIN_SHARE`` is 0.8: 1.2 times 13/16 is 0.975 of what tips it.
 """
 
 from __future__ import annotations
 
 import math
 
-LEAST_SHARE = 0.8
+MIN_SHARE = 0.8
 
 
-def sharers(configured: int, alive: int, sure: bool) -> int:
+def sharing_instances(configured: int, alive: int, sure: bool) -> int:
     """How many to share with, ourselves included; at least 1.
 
     ``alive``: members that are alive in our view, guests and ourselves included. More than are configured
@@ -28,4 +28,4 @@
     most = max(1, configured, alive)
     if alive >= configured or not sure:
         return most
-    return max(1, alive, math.ceil(LEAST_SHARE * configured))
+    return max(1, alive, math.ceil(MIN_SHARE * configured))
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -1,4 +1,4 @@
-"""The border controller of an operator's file: the SIP front, and one pool from the sources it names."""
+"""Builds the border controller of an operator's file: the SIP front, and one pool fed by its sources."""
 
 from __future__ import annotations
 
@@ -18,72 +18,71 @@
 from reedmount.core.switch import Switch
 from reedmount.dns.server import UpdateServer
 from reedmount.dns.update import Master
-from reedmount.dns.zone import ZoneError, load
+from reedmount.dns.zone import ZoneError, load_zone
 from reedmount.fronts.admin import View
-from reedmount.fronts.board import Board
-from reedmount.fronts.board import Pool as BoardList
+from reedmount.fronts.board import Board, BoardList
 from reedmount.fronts.sip import SipFront
 from reedmount.fronts.sip_servers import SipServers
-from reedmount.net.connection import Address, text_of
+from reedmount.net.connection import Address, format_address
 from reedmount.net.loop import Loop
 from reedmount.node import Node
-from reedmount.operator_file import Operator
-from reedmount.sources.host import PoolHost
-from reedmount.sources.lists import BOARD, FIXED, ZONE, BoardSource, ZoneSource, tell_fixed
+from reedmount.operator_file import OperatorConfig
+from reedmount.sources.lists import BOARD, FIXED, ZONE, BoardSource, ZoneSource, publish_fixed
+from reedmount.sources.pool_host import PoolHost
 from reedmount.sources.srv import NAME as SRV
 from reedmount.sources.srv import SrvSource
 
 if TYPE_CHECKING:
-    from reedmount.peers.copies import CopiesHost
-    from reedmount.peers.host import Peers
-    from reedmount.records.keeper import Keeper
-    from reedmount.sources.hearsay import HearsayHost
+    from reedmount.peers.membership import Membership
+    from reedmount.peers.replication import Replication
+    from reedmount.records.call_records import CallRecords
+    from reedmount.sources.member_reports import MemberReports
     from reedmount.store.disk import Disk
     from reedmount.store.log import Log
     from reedmount.store.writer import Writer
 
 POOL, MEMBERS, COPIES, RECORDS = "/admin/pool", "/admin/members", "/admin/copies", "/admin/records"
-SOURCES = (BOARD, FIXED, ZONE, SRV)  # in this order where they name a server differently
+SOURCE_PRIORITY = (BOARD, FIXED, ZONE, SRV)  # highest first, if they describe a server differently
 
 
 class Sources:
-    """All that tells of call servers, as the file has it now."""
+    """All sources of call servers that the operator's file configures."""
 
-    def __init__(self, loop: Loop, switch: Switch, config: Operator, seed: int) -> None:
+    def __init__(self, loop: Loop, switch: Switch, config: OperatorConfig, seed: int) -> None:
         self._loop, self._config = loop, config
-        self._chance = random.Random(seed)
-        self.host = PoolHost(loop, switch, config.pool, SOURCES)
+        self._rng = random.Random(seed)
+        self.host = PoolHost(loop, switch, config.pool, SOURCE_PRIORITY)
         self._master: Master | None = None
         self._zone: ZoneSource | None = None
         self._srv: SrvSource | None = None
         self._board: Board | None = None
         self.updates: UpdateServer | None = None
         if config.fixed:
-            tell_fixed(self.host, config.fixed)
+            publish_fixed(self.host, config.fixed)
         if config.zone is not None:
-            self._open_zone(config, load(config.zone, config.origin))
+            self._open_zone(config, load_zone(config.zone, config.origin))
         if config.board is not None:
             self._open_board(config.board)
         if config.srv is not None:
             self._open_srv(config)
 
-    def settle(self, config: Operator) -> None:
-        """The file has been read again. All of it is checked by now; the zone's file is read first."""
-        records = load(config.zone, config.origin) if config.zone is not None else None
+    def update_settings(self, config: OperatorConfig) -> None:
+        """Apply a reloaded and checked file. The zone file is read first, since it may be invalid."""
+        records = load_zone(config.zone, config.origin) if config.zone is not None else None
         old, self._config = self._config, config
         if config.pool != old.pool:
-            self.host.settle(config.pool)
+            self.host.apply_settings(config.pool)
         if config.fixed:
-            tell_fixed(self.host, config.fixed)
+            publish_fixed(self.host, config.fixed)
         else:
             self.host.drop(FIXED)
-        self._settle_zone(config, records)
+        self._apply_zone(config, records)
         if config.board != old.board:
-            self._settle_board(config.board)
+            self._apply_board(config.board)
         if self._srv is None and config.srv is not None:
             self._open_srv(config)
         elif self._srv is not None and config.srv is not None:
-            self._srv.settle(config.srv)
+            self._srv.apply_settings(config.srv)
         elif self._srv is not None:
             self._srv.close()
             self._srv = None
@@ -92,7 +91,7 @@
 
     # --- the sources ---
 
-    def _open_zone(self, config: Operator, zone: dns.zone.Zone) -> None:
+    def _open_zone(self, config: OperatorConfig, zone: dns.zone.Zone) -> None:
         self._zone = ZoneSource(
             self.host, zone, config.transports, config.zone if config.write_back else None
         )
@@ -101,7 +100,7 @@
             self._master = Master(zone, config.updates.policy, self._zone.changed)
             self.updates = UpdateServer(self._loop, config.updates.listen, self._master)
 
-    def _settle_zone(self, config: Operator, zone: dns.zone.Zone | None) -> None:
+    def _apply_zone(self, config: OperatorConfig, zone: dns.zone.Zone | None) -> None:
         if zone is None:
             self.host.drop(ZONE)
             self._zone = None
@@ -118,7 +117,7 @@
         listed.start(0, [])
         self._board = Board(self._loop, address, listed)
 
-    def _settle_board(self, address: Address | None) -> None:
+    def _apply_board(self, address: Address | None) -> None:
         if address is None:
             if self._board is not None:
                 self._board.close()
@@ -129,110 +128,123 @@
         else:
             self._board.move(address)
 
-    def _open_srv(self, config: Operator) -> None:
+    def _open_srv(self, config: OperatorConfig) -> None:
         if config.srv is not None:
-            self._srv = SrvSource(self._loop, self.host, config.srv, self._chance)
+            self._srv = SrvSource(self._loop, self.host, config.srv, self._rng)
             self._srv.start()
 
 
-def serve_sip(loop: Loop, read: Callable[[], Operator]) -> Node:
-    """Build it. Raises ConfigError, which names the key or the zone's line, and OSError of a listener."""
+def serve_sip(loop: Loop, read: Callable[[], OperatorConfig]) -> Node:
+    """Build the node. Raises ConfigError, which names the key or the zone's line, or a listener's OSError."""
     config = read()
     seed = int.from_bytes(os.urandom(8), "big")
-    made = Node(loop, config.settings, seed)
-    front = SipFront(loop, made.switch, config.sip, seed)
-    made.switch.attach(SipServers(front))
+    node = Node(loop, config.settings, seed)
+    front = SipFront(loop, node.switch, config.sip, seed)
+    node.switch.attach(SipServers(front))
     try:
-        sources = Sources(loop, made.switch, config, seed)
+        sources = Sources(loop, node.switch, config, seed)
     except ZoneError as error:
         raise ConfigError(str(error)) from None
     front.first_choice = sources.host.first_choice
-    peers = _open_peers(loop, made, config)
-    if peers is not None:
-        peers.on_change(lambda _: made.settle(_shared(config.settings, peers)))
-    copies = _open_copies(loop, made, front, peers, config)
-    hearsay = _open_hearsay(sources.host, peers, config)
-    views: dict[str, View] = {POOL: lambda query: sources.host.view(_after(query))}
-    if peers is not None:
+    membership = _open_membership(loop, node, config)
+    if membership is not None:
+        membership.on_change(lambda _: node.update_settings(_shared_settings(config.settings, membership)))
+    replicas = _open_replicas(loop, node, front, membership, config)
+    member_reports = _open_member_reports(sources.host, membership, config)
+    views: dict[str, View] = {POOL: lambda query: sources.host.view(_page_offset(query))}
+    if membership is not None:
         views[MEMBERS] = lambda query: {
-            **peers.view(query), "shared_among": made.switch.settings.proxies,
-            "call_servers": None if hearsay is None else hearsay.view(),
+            **membership.view(query), "shared_among": node.switch.settings.instances,
+            "call_servers": None if member_reports is None else member_reports.view(),
         }  # fmt: skip
-    if copies is not None:
-        held, keeper = copies
-        views[COPIES], views[RECORDS] = lambda _: held.view(), keeper.view
-    made.open_door(config.control, views)
-    made.where = f"SIP served at {text_of(front.endpoint.address)}, call servers from {_named(config)}"
-    made.parts = (front, sources, peers, hearsay, copies)
-
-    def reread() -> None:
+    if replicas is not None:
+        replication, call_records = replicas
+        views[COPIES], views[RECORDS] = lambda _: replication.view(), call_records.view
+    node.open_admin_server(config.control, views)
+    node.startup_line = (
+        f"SIP served at {format_address(front.endpoint.address)}, "
+        f"call servers from {_describe_sources(config)}"
+    )
+    node.retained = (front, sources, membership, member_reports, replicas)
+
+    def reload_config() -> None:
         nonlocal config
         fresh = read()
         try:
-            sources.settle(fresh)
+            sources.update_settings(fresh)
         except ZoneError as error:
             raise ConfigError(str(error)) from None
         old, config = config, fresh
-        made.settle(_shared(config.settings, peers))
+        node.update_settings(_shared_settings(config.settings, membership))
         front.settings = config.sip
-        places = [
+        listeners = [
             (item.sip.listen, item.sip.listen6, item.sip.timers,
              item.updates and item.updates.listen, item.control)
             for item in (old, config)
         ]  # fmt: skip
         if (old.members, old.replicas) != (config.members, config.replicas):
-            log("members and replicas are taken at the next start only")
-        if places[0] != places[1]:
-            log("sip.listen, timers, dns.update.listen and door.control are taken at the next start only")
+            log("members and replicas take effect at the next start only")
+        if listeners[0] != listeners[1]:
+            log("sip.listen, timers, dns.update.listen and door.control take effect at the next start only")
 
-    made.on_reload(reread)
-    return made
+    node.on_reload(reload_config)
+    return node
 
 
-def _open_peers(loop: Loop, node: Node, config: Operator) -> Peers | None:
-    """Be a member of the group, where the file names one; at our end say so: nobody has to find out."""
+def _open_membership(loop: Loop, node: Node, config: OperatorConfig) -> Membership | None:
+    """Join the group, if the file names one; the shutdown is announced, and need not be detected."""
     if config.members is None:
         return None
-    from reedmount.peers.host import Peers
+    from reedmount.peers.membership import Membership
 
-    peers = Peers(loop, config.members)
-    log(f"member {config.members.name} of {config.members.group} at {text_of(peers.address)}")
-    node.on_end(peers.leave)
+    membership = Membership(loop, config.members)
+    log(f"member {config.members.name} of {config.members.group} at {format_address(membership.address)}")
+    node.on_end(membership.leave)
     if config.members.srv is not None:
-        from reedmount.peers.ways import WaysIn
+        from reedmount.peers.seed_discovery import SeedDiscovery
 
-        peers.ways = WaysIn(loop, peers, config.members.srv, random.Random(os.urandom(8)))
-    return peers
+        membership.seed_discovery = SeedDiscovery(
+            loop, membership, config.members.srv, random.Random(os.urandom(8))
+        )
+    return membership
 
 
-def _open_copies(
-    loop: Loop, node: Node, front: SipFront, peers: Peers | None, config: Operator
-) -> tuple[CopiesHost, Keeper] | None:
-    """Hold what is promised of calls for others, and others' for them, where the file says so."""
-    if peers is None or config.members is None or config.replicas is None:
+def _open_replicas(
+    loop: Loop, node: Node, front: SipFront, membership: Membership | None, config: OperatorConfig
+) -> tuple[Replication, CallRecords] | None:
+    """Replicate call records among the members, if the file configures it."""
+    if membership is None or config.members is None or config.replicas is None:
         return None
-    from reedmount.peers.copies import CopiesHost
-    from reedmount.records.keeper import Keeper
+    from reedmount.peers.replication import Replication
+    from reedmount.records.call_records import CallRecords
     from reedmount.store.faulty import disk_of
     from reedmount.store.frame import StoreError
     from reedmount.store.log import Log
 
-    members, wanted = config.members, config.replicas
+    members, settings = config.members, config.replicas
     store: Log | None = None
-    make: Callable[[Callable[[int], None], Callable[[bool], None]], Writer] | None = None
-    if wanted.folder is not None:
+    make_writer: Callable[[Callable[[int], None], Callable[[bool], None]], Writer] | None = None
+    if settings.folder is not None:
         try:
-            disk = disk_of(wanted.folder, wanted.disk_faults)
+            disk = disk_of(settings.folder, settings.disk_faults)
             store = Log(disk)
             opened = store.open()
         except (OSError, StoreError) as error:
             raise ConfigError(f"replicas.folder: {error}") from None
         log(f"the store has {len(store)} records; gaps {len(opened.gaps)}, torn {opened.torn} bytes")
-        make = partial(_writer, loop, store, disk, wanted.sync)
-    copies = CopiesHost(
-        loop, peers, members.name, members.group, members.listen, wanted.faults, store, make, wanted.wait
+        make_writer = partial(_writer, loop, store, disk, settings.sync)
+    replication = Replication(
+        loop,
+        membership,
+        members.name,
+        members.group,
+        members.listen,
+        settings.faults,
+        store,
+        make_writer,
+        settings.wait,
     )
-    return copies, Keeper(loop, node.switch, front, copies, members.name, wanted.keep_for)
+    return replication, CallRecords(loop, node.switch, front, replication, members.name, settings.keep_for)
 
 
 def _writer(
@@ -244,30 +256,35 @@
     return Writer(loop, store, disk, sync, durable, trouble)
 
 
-def _open_hearsay(host: PoolHost, peers: Peers | None, config: Operator) -> HearsayHost | None:
-    """Tell others what our sources say of call servers; be careful with those that others saw leave."""
-    if peers is None or config.members is None or not config.members.hearsay:
+def _open_member_reports(
+    host: PoolHost, membership: Membership | None, config: OperatorConfig
+) -> MemberReports | None:
+    """Exchange reports of call servers with the members, and hold back servers that others saw leave."""
+    if membership is None or config.members is None or not config.members.max_report_hold:
         return None
-    from reedmount.sources.hearsay import HearsayHost
+    from reedmount.sources.member_reports import MemberReports
 
     cold = span(config.settings.cold_us)
-    return HearsayHost(host, peers, config.members.name, cold, config.members.hearsay)
+    return MemberReports(host, membership, config.members.name, cold, config.members.max_report_hold)
 
 
-def _shared(settings: i.Settings, peers: Peers | None) -> i.Settings:
-    """Settings that share the call servers among as many as the view has, where it is sure."""
-    if peers is None:
+def _shared_settings(settings: i.Settings, membership: Membership | None) -> i.Settings:
+    """Settings that share the call servers among the live members, as long as there is a quorum."""
+    if membership is None:
         return settings
-    from reedmount.members.shares import sharers
+    from reedmount.members.capacity_sharing import sharing_instances
 
-    return replace(settings, proxies=sharers(settings.proxies, peers.alive, peers.standing.may_decide))
+    return replace(
+        settings,
+        instances=sharing_instances(settings.instances, membership.alive, membership.standing.has_quorum),
+    )
 
 
-def _named(config: Operator) -> str:
-    """The sources, for the line at the start."""
+def _describe_sources(config: OperatorConfig) -> str:
+    """The sources, for the startup line."""
     parts = []
     if config.board is not None:
-        parts.append(f"the list at {text_of(config.board)}")
+        parts.append(f"the list at {format_address(config.board)}")
     if config.fixed:
         parts.append(f"{len(config.fixed)} in the file")
     if config.zone is not None:
@@ -277,7 +294,7 @@
     return "; ".join(parts)
 
 
-def _after(query: dict[str, str]) -> int:
-    """The page that is asked for; what is no number is the first."""
+def _page_offset(query: dict[str, str]) -> int:
+    """The item after which the requested page starts; 0 if it is not a number."""
     text = query.get("after", "0")
     return int(text) if text.isdecimal() and len(text) < 9 else 0
--- a/reedmount/operator_file.py
+++ b/reedmount/operator_file.py
@@ -1,4 +1,7 @@
-"""The only reader of operator files: typed tables, defaults, and errors that name the key."""
+"""Reads and checks operator files: typed tables, defaults, and errors that name the key.
+
+No other module reads them.
+"""
 
 from __future__ import annotations
 
@@ -23,32 +26,32 @@
 from reedmount.fronts.sip import SipSettings
 from reedmount.net.connection import Address
 from reedmount.pool.bands import BandSettings
-from reedmount.pool.pool import Past
-from reedmount.pool.words import Claim
+from reedmount.pool.claims import Claim
+from reedmount.pool.pool import ExpiryPolicy
 from reedmount.sip.transaction import Timers
-from reedmount.sources.host import PoolSettings
+from reedmount.sources.pool_host import PoolSettings
 from reedmount.sources.srv import SrvSettings
 from reedmount.sources.srv_reader import read_srv
 from reedmount.tables import Table, numeric
 
 if TYPE_CHECKING:
-    from reedmount.peers.settings import PeerSettings
+    from reedmount.peers.settings import MembershipSettings
     from reedmount.records.settings import ReplicaSettings
 
-WAY_BACK = "sip.listen6: call servers have to find their way back"
+IPV6_REQUIREMENT = "sip.listen6: call servers need an IPv6 address to send to"
 
 
 @dataclass(frozen=True, slots=True)
 class Updates:
-    """Where dynamic updates are taken, and from whom."""
+    """Where DNS dynamic updates are accepted, and from whom."""
 
     listen: Address
     policy: Policy
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
-    """All that an operator's file says."""
+class OperatorConfig:
+    """The complete configuration of an operator's file."""
 
     sip: SipSettings
     zone: Path | None
@@ -62,11 +65,11 @@
     board: Address | None
     fixed: tuple[Claim, ...]
     srv: SrvSettings | None
-    members: PeerSettings | None
+    members: MembershipSettings | None
     replicas: ReplicaSettings | None
 
 
-def read_operator(path: Path) -> Operator:
+def read_operator(path: Path) -> OperatorConfig:
     """Read and check an operator's file."""
     try:
         with path.open("rb") as file:
@@ -99,79 +102,81 @@
     transports = dns_table.texts("transports", list(TRANSPORTS))
     if not transports or any(item not in TRANSPORTS for item in transports):
         raise ConfigError(f"dns.transports: of {TRANSPORTS} wanted, not {transports!r}")
-    updates, door = dns_table.table("update"), top.table("door")
-    made = Operator(
+    updates, admin = dns_table.table("update"), top.table("door")
+    config = OperatorConfig(
         sip=sip_settings,
         zone=path.parent / dns_table.get("zone", str) if top.has("dns") else None,
         origin=dns_table.get("origin", str, "") or None,
         transports=tuple(transports),
         write_back=dns_table.get("write_back", bool, False),
         updates=_updates(updates) if dns_table.has("update") else None,
-        control=address(door.get("control", str), "door.control") if top.has("door") else None,
+        control=address(admin.get("control", str), "door.control") if top.has("door") else None,
         settings=_module(module, classes),
         pool=_pool(pool),
         board=numeric(pool.get("board", str), f"{pool.path}.board") if pool.has("board") else None,
         fixed=tuple(_fixed(pool)),
-        srv=read_srv(srv, None if listen6 else WAY_BACK) if top.has("srv") else None,
+        srv=read_srv(srv, None if listen6 else IPV6_REQUIREMENT) if top.has("srv") else None,
         members=group,
         replicas=_replicas(replicas, path.parent, group) if top.has("replicas") else None,
     )
-    for table in (top, sip, dns_table, updates, door, module, pool, srv, members, replicas):
+    for table in (top, sip, dns_table, updates, admin, module, pool, srv, members, replicas):
         table.done()
-    if made.zone is None and made.board is None and not made.fixed and made.srv is None:
+    if config.zone is None and config.board is None and not config.fixed and config.srv is None:
         raise ConfigError("no source of call servers: dns.zone, pool.board, pool.servers or srv.names")
-    return made
+    return config
 
 
-def _members(table: Table) -> PeerSettings:
-    """Read by the part itself, whose libraries are imported only where the table is there."""
+def _members(table: Table) -> MembershipSettings:
+    """Import the reader, and with it the libraries of the membership, only if the table is present."""
     try:
         from reedmount.peers.reader import read_members
     except ImportError as error:
-        raise ConfigError(f"members: needs what requirements-fleet.txt names: {error}") from None
+        raise ConfigError(f"members: install the packages of requirements-fleet.txt: {error}") from None
     return read_members(table)
 
 
-def _replicas(table: Table, base: Path, group: PeerSettings | None) -> ReplicaSettings:
+def _replicas(table: Table, base: Path, group: MembershipSettings | None) -> ReplicaSettings:
     if group is None:
         raise ConfigError(f"{table.path}: there is no [members]")
     try:
         from reedmount.records.settings import read_replicas
     except ImportError as error:
-        raise ConfigError(f"{table.path}: needs what requirements-fleet.txt names: {error}") from None
-    return read_replicas(table, base, len(group.rosters[0].names))
+        raise ConfigError(f"{table.path}: install the packages of requirements-fleet.txt: {error}") from None
+    return read_replicas(table, base, len(group.voter_sets[0].names))
 
 
 def _pool(table: Table) -> PoolSettings:
     try:
-        past = Past(table.get("past_bound", str, Past.DRAIN.value))
+        expiry_policy = ExpiryPolicy(table.get("past_bound", str, ExpiryPolicy.DRAIN.value))
     except ValueError:
-        raise ConfigError(f"{table.path}.past_bound: of {[item.value for item in Past]} wanted") from None
+        raise ConfigError(
+            f"{table.path}.past_bound: of {[item.value for item in ExpiryPolicy]} wanted"
+        ) from None
     transport = table.get("transport", str, "tcp")
     if transport not in TRANSPORTS:
         raise ConfigError(f"{table.path}.transport: of {TRANSPORTS} wanted, not {transport!r}")
     return PoolSettings(
-        past=past,
+        expiry_policy=expiry_policy,
         transport=transport,
-        start_for=table.seconds("start_s", 10.0, 0.0, 3600.0),
-        gone_for=table.seconds("gone_s", 600.0, 1.0, 86_400.0),
-        unranked=(table.amount("priority", int, 0, 0, 65535), table.amount("weight", int, 1, 0, 65535)),
+        startup_window=table.seconds("start_s", 10.0, 0.0, 3600.0),
+        forget_after=table.seconds("gone_s", 600.0, 1.0, 86_400.0),
+        default_rank=(table.amount("priority", int, 0, 0, 65535), table.amount("weight", int, 1, 0, 65535)),
         bands=BandSettings(
-            press=table.span("press_ms", 50, 5, 10_000),
-            step=table.span("step_ms", 200, 5, 60_000),
-            close=table.seconds("close_s", 10.0, 0.1, 3600.0),
-            down=table.seconds("down_s", 5.0, 0.1, 3600.0),
+            pressure_time=table.span("press_ms", 50, 5, 10_000),
+            step_time=table.span("step_ms", 200, 5, 60_000),
+            close_time=table.seconds("close_s", 10.0, 0.1, 3600.0),
+            down_time=table.seconds("down_s", 5.0, 0.1, 3600.0),
         ),
     )
 
 
 def _fixed(table: Table) -> Iterator[Claim]:
-    """``udp:192.0.2.1:5060``; the transport may be left out and is TCP then."""
+    """Parse entries like ``udp:192.0.2.1:5060``; the transport is optional and defaults to TCP."""
     for text in table.texts("servers", []):
-        transport, colon, place = text.partition(":")
+        transport, colon, endpoint = text.partition(":")
         if not colon or transport not in TRANSPORTS:
-            transport, place = "tcp", text
-        yield Claim(numeric(place, f"{table.path}.servers"), text, transport=transport)
+            transport, endpoint = "tcp", text
+        yield Claim(numeric(endpoint, f"{table.path}.servers"), text, transport=transport)
 
 
 def _classes(top: Table) -> tuple[tuple[i.CallClass, ...], tuple[tuple[str, str], ...]]:
@@ -186,7 +191,7 @@
                 name=name,
                 worth=table.amount("worth", float, 1.0, 0.0, 1e6),
                 late_share=table.amount("late_share", float, 0.25, 0.0, 1.0),
-                aim_us=span_micros(table.span("aim_ms", None)),
+                target_us=span_micros(table.span("aim_ms", None)),
                 give_up_us=span_micros(table.span("give_up_ms", None)),
                 effect=i.Effect.REPEATABLE,
                 servers=None,
@@ -201,7 +206,7 @@
 
 def _module(table: Table, classes: tuple[i.CallClass, ...]) -> i.Settings:
     return i.Settings(
-        proxies=table.amount("controllers", int, 1, 1, 10_000),
+        instances=table.amount("controllers", int, 1, 1, 10_000),
         classes=classes,
         tenants=(),
         over_quota_share=1.0,
--- a/reedmount/sources/lists.py
+++ b/reedmount/sources/lists.py
@@ -1,4 +1,4 @@
-"""Lists as sources: the notice board, the zone with its updates, servers written in the operator file."""
+"""Lists as sources: the notice board, the zone with its updates, servers in the operator's file."""
 
 from __future__ import annotations
 
@@ -9,36 +9,38 @@
 
 from reedmount import interface as i
 from reedmount.core.checks import COUNTERS, log
-from reedmount.core.ports import Listed
-from reedmount.dns.zone import Found, save, servers
-from reedmount.pool.words import Claim, Word
-from reedmount.sources.host import PoolHost
+from reedmount.core.ports import ListedServer
+from reedmount.dns.zone import ZoneServer, save_zone, zone_servers
+from reedmount.pool.claims import Claim, ClaimState
+from reedmount.sources.pool_host import PoolHost
 
 BOARD, ZONE, FIXED = "list", "zone", "file"
 
 
 class BoardSource:
-    """What the notice board's reader tells as news of the core, told to the pool instead."""
+    """Passes the notice board's pool list to the pool instead of the core."""
 
     def __init__(self, host: PoolHost) -> None:
         self._host = host
 
-    def pool(self, version: int, kind: i.ListKind, entries: list[Listed]) -> None:
-        """As ``Switch.pool``; the versions have been checked by the reader."""
+    def pool_changed(self, version: int, kind: i.ListKind, entries: list[ListedServer]) -> None:
+        """Take a list or its changes, as ``Switch.pool_changed``; the reader has checked the versions."""
         claims = [self._claim(entry) for entry in entries]
         if kind is i.ListKind.CHANGES:
-            self._host.news(BOARD, claims)
-        elif claims:  # one that was never heard says nothing, not that there are none
-            self._host.whole(BOARD, claims)
+            self._host.partial_update(BOARD, claims)
+        elif claims:  # empty: not received yet, rather than no servers
+            self._host.full_update(BOARD, claims)
 
     @staticmethod
-    def _claim(entry: Listed) -> Claim:
-        word = Word.GONE if entry.removed else Word.SERVING if entry.serving else Word.DRAINING
-        return Claim(entry.address, entry.server, word, started=entry.started)  # it names no transport
+    def _claim(entry: ListedServer) -> Claim:
+        state = (
+            ClaimState.GONE if entry.removed else ClaimState.SERVING if entry.serving else ClaimState.DRAINING
+        )
+        return Claim(entry.address, entry.server, state, started=entry.started)  # no transport on the board
 
 
 class ZoneSource:
-    """The zone as it stands: each change of it is a complete list of its call servers."""
+    """The zone as a source: each change of it is a full update of its call servers."""
 
     def __init__(
         self, host: PoolHost, zone: dns.zone.Zone, transports: Sequence[str], write_back: Path | None
@@ -47,42 +49,42 @@
         self._transports, self._write_back = transports, write_back
 
     def start(self) -> None:
-        """Tell what the zone file says."""
-        self._say()
+        """Publish the servers of the zone file."""
+        self._publish()
 
     def reload(self, zone: dns.zone.Zone, transports: Sequence[str], write_back: Path | None) -> None:
-        """The operator's file and the zone file have been read again: they hold from now on."""
+        """Apply a reloaded operator file and zone file."""
         self._transports, self._write_back = transports, write_back
         self.changed(zone, saved=True)
 
     def changed(self, zone: dns.zone.Zone, saved: bool = False) -> None:
-        """The zone is another."""
+        """Publish the servers of a changed zone, and write it back unless it was just read."""
         self._zone = zone
-        found = self._say()
-        log(f"zone changed: {len(found)} call servers", "dns.changed")
+        listed = self._publish()
+        log(f"zone changed: {len(listed)} call servers", "dns.changed")
         if self._write_back is not None and not saved:
             try:
-                save(zone, self._write_back)
+                save_zone(zone, self._write_back)
             except OSError as error:
                 COUNTERS.add("dns.not_saved")
                 log(f"{self._write_back}: {error}", "dns.not_saved")
 
-    def _say(self) -> list[Found]:
-        found = list(servers(self._zone, self._transports).values())
+    def _publish(self) -> list[ZoneServer]:
+        listed = list(zone_servers(self._zone, self._transports).values())
         claims = [
             Claim(
-                place=item.address,
-                name=item.server.rpartition(":")[0],
-                transport=item.transport,
-                priority=item.priority,
-                weight=item.weight,
+                endpoint=zone_server.address,
+                name=zone_server.server.rpartition(":")[0],
+                transport=zone_server.transport,
+                priority=zone_server.priority,
+                weight=zone_server.weight,
             )
-            for item in found
+            for zone_server in listed
         ]
-        self._host.whole(ZONE, claims)
-        return found
+        self._host.full_update(ZONE, claims)
+        return listed
 
 
-def tell_fixed(host: PoolHost, claims: Sequence[Claim]) -> None:
-    """The servers that the operator's file names, as it stands now."""
-    host.whole(FIXED, claims)
+def publish_fixed(host: PoolHost, claims: Sequence[Claim]) -> None:
+    """Publish the servers that the operator's file names."""
+    host.full_update(FIXED, claims)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: just the tests that ``KNOWN-RED.txt`` lists may fail, three at most, and each is printed.
+"""Known failures: only the tests listed in ``KNOWN-RED.txt`` may fail, at most three, and each is printed.
 
 A line reads ``TEST | CAUSE | ISSUE``. A listed test that passes is an error, and so is one that is missing.
 """
@@ -11,12 +11,12 @@
 import pytest
 
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN = 3
+MAX_KNOWN = 3
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A test that fails for a fault that is not mended yet."""
+    """A test that fails because of a fault that is not fixed yet."""
 
     test: str
     cause: str
@@ -32,8 +32,8 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"KNOWN-RED.txt: not TEST | CAUSE | ISSUE: {line}")
         found.append(KnownFailure(*parts))
-    if len(found) > MOST_KNOWN:
-        raise pytest.UsageError(f"KNOWN-RED.txt: more than {MOST_KNOWN} lines")
+    if len(found) > MAX_KNOWN:
+        raise pytest.UsageError(f"KNOWN-RED.txt: more than {MAX_KNOWN} lines")
     return found
 
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Mutation fuzzing, seeded and bounded, of every surface that listens or reads: nothing ends the program."""
+"""Mutation fuzzing, seeded and bounded, of all listeners and parsers: no input may end the program."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 import pytest
 
 from reedmount.config import ConfigError, read_platform
-from reedmount.core import border
-from reedmount.core.checks import COUNTERS, SAID
+from reedmount.core import fault_isolation
+from reedmount.core.checks import COUNTERS, LOGGED_COUNTS
 from reedmount.core.clock import ZERO
 from reedmount.core.lifecycle import Lifecycle
 from reedmount.dns.update import Master, Policy
-from reedmount.dns.zone import ZoneError, load
-from reedmount.fronts.admin import Door, View
-from reedmount.fronts.board import Board, BoardError, Pool, read_notices
-from reedmount.fronts.twin import Word
+from reedmount.dns.zone import ZoneError, load_zone
+from reedmount.fronts.admin import AdminServer, View
+from reedmount.fronts.board import Board, BoardError, BoardList, read_notices
+from reedmount.fronts.handover import HandoverMessage
 from reedmount.operator_file import read_operator
 from reedmount.sip.message import SipError, parse_datagram
 from standins.mutate import mutated
@@ -32,7 +32,7 @@
 from tests.test_config import platform
 from tests.test_dns import ORIGIN, ZONE, zone_file
 from tests.test_platform import Platform
-from tests.test_sip import Sip
+from tests.test_sip import SipStage
 
 METHODS = ("INVITE", "ACK", "BYE", "CANCEL", "OPTIONS", "REGISTER")
 ROOT = Path(__file__).resolve().parent.parent
@@ -40,29 +40,29 @@
 
 @pytest.fixture(autouse=True)
 def strict() -> Iterator[None]:
-    """A fault that the border would contain is a fault all the same: here it fails the test."""
-    border.STRICT = True
+    """Let faults fail the test here instead of being contained by run_isolated."""
+    fault_isolation.STRICT = True
     yield
-    border.STRICT = False
-    SAID.clear()
+    fault_isolation.STRICT = False
+    LOGGED_COUNTS.clear()
 
 
 def sip_seeds(peer: Peer, kind: str) -> list[bytes]:
-    """Requests and responses as both sides send them."""
-    words = {"expires": "2", "require": ""}
-    made = [peer.request(method, f"f{number}", dict(words), b"v=0\r\n").encode()
-            for number, method in enumerate(METHODS)]  # fmt: skip
+    """Requests and responses as clients and servers send them."""
+    headers = {"expires": "2", "require": ""}
+    requests = [peer.request(method, f"f{number}", dict(headers), b"v=0\r\n").encode()
+                for number, method in enumerate(METHODS)]  # fmt: skip
     via = f"SIP/2.0/{kind.upper()} {HOST}:{peer.port};branch=z9hG4bKx;rport, SIP/2.0/UDP [::1]:5;branch=z9"
     response = (
         f'SIP/2.0 200 OK\r\nv: {via}\r\nf: <sip:a@b>;tag=1\r\nt: "x, y" <sip:a@b>;tag=2\r\ni: f1\r\n'
         f"CSeq: 1 INVITE\r\nm: <sip:s@{HOST}:{peer.port}>\r\nRecord-Route: <sip:p;lr>\r\nl: 0\r\n\r\n"
     )
-    return [*made, response.encode()]
+    return [*requests, response.encode()]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_sip_over_udp(seed: int) -> None:
-    stage = Sip("server")
+    stage = SipStage("server")
     phone = stage.peers["phone"]
     phone.pump = lambda: False  # type: ignore[method-assign]
     stage.peers["server"].pump = lambda: False  # type: ignore[method-assign]
@@ -73,12 +73,12 @@
         if turn % 20 == 0:
             stage.loop.turn(ZERO)
             stage.time.seconds += 0.05
-    stage.wait(stage.front.settings.timers.longest)
+    stage.wait(stage.front.settings.timers.timeout)
     assert COUNTERS["sip.in.malformed"] + COUNTERS["sip.in.dropped"] > before + 100
     phone.sock.setblocking(False)
     with contextlib.suppress(BlockingIOError):
         while True:
-            phone.sock.recv(65536)  # answers that carry what was malformed
+            phone.sock.recv(65536)  # responses that repeat malformed headers
     phone.sock.setblocking(True)
     del phone.pump
     stage.play("phone send OPTIONS alive\n phone expect 200 alive")
@@ -86,13 +86,13 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_sip_over_tcp(seed: int) -> None:
-    stage = Sip("server")
-    chance = random.Random(seed)
+    stage = SipStage("server")
+    rng = random.Random(seed)
     seeds = sip_seeds(stage.peers["desk"], "tcp")
-    for wire in mutated(chance, seeds, 300):
+    for wire in mutated(rng, seeds, 300):
         with socket.create_connection(stage.front.endpoint.address) as sock:
             for begin in range(0, len(wire), max(1, len(wire) // 3)):
-                with contextlib.suppress(ConnectionError):  # closed: the rest is not wanted
+                with contextlib.suppress(ConnectionError):  # closed by the server: the rest is not read
                     sock.sendall(wire[begin : begin + max(1, len(wire) // 3)])
                 while stage.loop.turn(ZERO):
                     pass
@@ -100,22 +100,22 @@
     stage.play("desk send OPTIONS alive\n desk expect 200 alive")
 
 
-def test_messages_of_sip_raise_nothing_but_what_their_sender_is_told() -> None:
-    stage = Sip("server")
-    read = 0
+def test_the_sip_parser_raises_only_sip_errors_and_parsed_messages_survive_a_round_trip() -> None:
+    stage = SipStage("server")
+    parsed = 0
     for wire in mutated(random.Random(7), sip_seeds(stage.peers["phone"], "udp"), 5000):
         try:
             message = parse_datagram(wire)
         except SipError:
             continue
-        read += 1
+        parsed += 1
         message.headers = [item for item in message.headers if item[0].lower() != "content-length"]
         again = parse_datagram(message.encode())
         assert (again.method, again.uri, again.status, again.body) == (
             message.method, message.uri, message.status, message.body
         )  # fmt: skip
         assert again.headers[:-1] == message.headers
-    assert 1500 < read < 4000
+    assert 1500 < parsed < 4000
 
 
 def test_dns_updates(tmp_path: Path) -> None:
@@ -124,96 +124,102 @@
     change.delete("_sip._udp", "SRV", "10 1 5070 one")
     change.present("one", "A")
     seeds = [change.to_wire(), dns.message.make_query(ORIGIN, "SOA").to_wire()]
-    primary = Master(load(zone_file(tmp_path), ORIGIN), Policy(frozenset({HOST})), lambda _: None)
+    primary = Master(load_zone(zone_file(tmp_path), ORIGIN), Policy(frozenset({HOST})), lambda _: None)
     replies = 0
     for wire in mutated(random.Random(1), seeds, 4000):
         replies += primary.answer(wire, HOST) is not None
     assert replies > 500
 
 
-def test_the_door() -> None:
-    stage = Sip()
+def test_the_admin_server() -> None:
+    stage = SipStage()
     views: dict[str, View] = {"/v": lambda query: dict(query)}
-    door = Door(stage.loop, (HOST, 0), Lifecycle(stage.time.clock), lambda: {}, views)
+    admin_server = AdminServer(stage.loop, (HOST, 0), Lifecycle(stage.time.clock), lambda: {}, views)
     seeds = [
         b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n",
         b"GET /v?after=3&b=%ff HTTP/1.1\r\nHost: x\r\n\r\n",
         b"POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\nHost: x\r\n\r\nab",
     ]
     for wire in mutated(random.Random(2), seeds, 1000):
-        with socket.create_connection(door.address) as sock:
+        with socket.create_connection(admin_server.address) as sock:
             sock.sendall(wire)
             while stage.loop.turn(ZERO):
                 pass
     stage.time.seconds += 10
-    with socket.create_connection(door.address, 5) as sock:
+    with socket.create_connection(admin_server.address, 5) as sock:
         sock.sendall(seeds[1])
         stage.settle()
         assert sock.recv(100).startswith(b"HTTP/1.1 200")
 
 
-def test_the_board_s_answers() -> None:
+def test_notice_board_answers() -> None:
     raw = {"rev": 3, "notices": [notice(1, host("a"), whole=True), notice(2, host("a", "DRAINING")),
                                  {"rev": 3, "other": {}}]}  # fmt: skip
-    taken = 0
+    accepted = 0
     for wire in mutated(random.Random(3), [json.dumps(raw).encode()], 4000):
         try:
             read_notices(json.loads(wire))
-            taken += 1
+            accepted += 1
         except (BoardError, ValueError):
             pass
-    assert taken > 50
+    assert accepted > 50
 
 
-DEEP = b"[" * 4000
+DEEPLY_NESTED = b"[" * 4000
 
 
-@pytest.mark.parametrize("answer", [b'{"rev": Infinity, "notices": []}', DEEP], ids=["infinity", "deep"])
-def test_a_board_that_answers_with_no_number_or_without_end_is_asked_again(answer: bytes) -> None:
-    """An OverflowError or RecursionError went by all that was caught: a debug build ended."""
+@pytest.mark.parametrize(
+    "answer", [b'{"rev": Infinity, "notices": []}', DEEPLY_NESTED], ids=["infinity", "deep"]
+)
+def test_a_board_that_answers_with_infinity_or_deep_nesting_is_polled_again(answer: bytes) -> None:
+    """An OverflowError or RecursionError was not caught and ended a debug build."""
     stage = Platform("a")
     with socket.create_server((HOST, 0)) as listener:
         listener.setblocking(False)
-        board = Board(stage.loop, listener.getsockname(), Pool(stage.switch))
-        asked = 0
+        board = Board(stage.loop, listener.getsockname(), BoardList(stage.switch))
+        polls = 0
         for _ in range(60):
             stage.wait(timedelta(milliseconds=20))
             with contextlib.suppress(BlockingIOError):
                 sock, _ = listener.accept()
                 with sock:
-                    asked += 1
+                    polls += 1
                     sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
                     stage.wait(timedelta(milliseconds=20))
         board.close()
-    assert asked >= 3
+    assert polls >= 3
 
 
-def test_a_file_and_a_word_nested_without_end_are_refused(tmp_path: Path) -> None:
-    (tmp_path / "config.json").write_bytes(DEEP * 30)
+def test_a_deeply_nested_config_file_and_handover_message_are_rejected(tmp_path: Path) -> None:
+    (tmp_path / "config.json").write_bytes(DEEPLY_NESTED * 30)
     with pytest.raises(ConfigError, match="not JSON"):
         read_platform({"GW_CONFIG": str(tmp_path / "config.json")})
     stage = Platform("a")
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    stage.callers.twin.join(near)
-    heard: list[Word] = []
-    stage.callers.twin.on("held", heard.append)
-    seeds = [json.dumps({"what": "held", "count": 3}).encode(), DEEP]
+    stage.callers.handover_peer.join(near)
+    received: list[HandoverMessage] = []
+    stage.callers.handover_peer.on("held", received.append)
+    seeds = [json.dumps({"what": "held", "count": 3}).encode(), DEEPLY_NESTED]
     with far:
-        far.send(DEEP)
+        far.send(DEEPLY_NESTED)
         for wire in mutated(random.Random(8), seeds, 300):
-            if wire:  # an empty one is the end
+            if wire:  # an empty message would mean the end of the stream
                 far.send(wire[:4096])
                 stage.loop.turn(ZERO)
         far.send(seeds[0])
         stage.settle()
-        assert heard and heard[-1] == {"what": "held", "count": 3} and stage.callers.twin.there
+        assert (
+            received
+            and received[-1] == {"what": "held", "count": 3}
+            and stage.callers.handover_peer.connected
+        )
 
 
 def test_the_thin_front() -> None:
     stage = Platform("server")
     seeds = [
-        stage.peers["caller"].request("INVITE", digits("c1"), words, b"hello\r\n").encode()
-        for words in ({"x-cos": "small", "x-timer-ms": "1500", "x-legs": "dest:1"}, {"x-cos": "great"})
+        stage.peers["caller"].request("INVITE", digits("c1"), headers, b"hello\r\n").encode()
+        for headers in ({"x-cos": "small", "x-timer-ms": "1500", "x-legs": "dest:1"}, {"x-cos": "great"})
     ]
     seeds += [stage.peers["caller"].request(method, digits("c1"), {}, b"").encode() for method in METHODS]
     for wire in mutated(random.Random(9), seeds, 400):
@@ -224,27 +230,27 @@
         stage.time.seconds += 0.05
     stage.wait(timedelta(seconds=10))
     assert not stage.switch.unanswered
-    taken = COUNTERS["calls.taken"]
+    calls_taken = COUNTERS["calls.taken"]
     stage.play("other send INVITE c9 x-cos=small x-timer-ms=2000 x-legs=dest:1 | hi\n wait 10")
-    assert COUNTERS["calls.taken"] == taken + 1
+    assert COUNTERS["calls.taken"] == calls_taken + 1
 
 
 @pytest.mark.parametrize("name", ["sip.toml", "srv.toml"])
-def test_operators_files(tmp_path: Path, name: str) -> None:
+def test_operator_files(tmp_path: Path, name: str) -> None:
     seed = (ROOT / "deploy" / name).read_bytes()
     path = tmp_path / name
-    taken = 0
+    accepted = 0
     for wire in mutated(random.Random(4), [seed], 600):
         path.write_bytes(wire)
         try:
             read_operator(path)
-            taken += 1
+            accepted += 1
         except ConfigError:
             pass
-    assert taken < 500
+    assert accepted < 500
 
 
-def test_the_platform_s_file(tmp_path: Path) -> None:
+def test_platform_config_file(tmp_path: Path) -> None:
     platform(tmp_path)
     seed = (tmp_path / "config.json").read_bytes()
     for wire in mutated(random.Random(5), [seed], 1500):
@@ -259,4 +265,4 @@
     for wire in mutated(random.Random(6), seeds, 800):
         path.write_bytes(wire)
         with contextlib.suppress(ZoneError):
-            load(path, ORIGIN)
+            load_zone(path, ORIGIN)
