--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -52,7 +52,7 @@
         self.longest_s = 0.0  # of a turn of the loop
         for name in NAMES:
             self.start(name, f"{name}-0")
-        self.until(lambda: all(len(host.mesh.ways) == 2 for host in self.hosts.values()))
+        self.until(lambda: all(len(host.mesh.connected_members) == 2 for host in self.hosts.values()))
 
     def start(self, name: str, folder: str) -> None:
         """A member with this folder."""
@@ -112,14 +112,14 @@
         with tempfile.TemporaryDirectory() as folder:
             trio = Trio(Path(folder), disk)
             host, spans = trio.hosts["n1"], []
-            host.hold("first", Phase.STANDS, b"")
+            host.hold("first", Phase.ESTABLISHED, b"")
             trio.until(lambda: host.replicas.durable == 1)  # noqa: B023
             data = bytes(RECORD)
             used = time.process_time()
             for number in range(count):
                 heard: list[bool] = []
                 begun = time.perf_counter()
-                host.hold(f"call-{number}", Phase.STANDS, data, heard.append)
+                host.hold(f"call-{number}", Phase.ESTABLISHED, data, heard.append)
                 trio.until(lambda: bool(heard))  # noqa: B023
                 spans.append(time.perf_counter() - begun)
                 assert heard == [True]
@@ -128,7 +128,7 @@
             for batch in range(count // 100):
                 all_heard: list[bool] = []
                 for number in range(100):
-                    host.hold(f"more-{batch}-{number}", Phase.STANDS, data, all_heard.append)
+                    host.hold(f"more-{batch}-{number}", Phase.ESTABLISHED, data, all_heard.append)
                 trio.until(lambda: len(all_heard) == 100)  # noqa: B023
             batches = (time.process_time() - batches) / (count // 100 * 100) * 1e6
             trio.close()
@@ -198,19 +198,19 @@
         host, data = trio.hosts["n1"], bytes(RECORD)
         shard = host.replicas.shard
         for number in range(records):
-            host.hold(f"call-{number}", Phase.OVER, data)
+            host.hold(f"call-{number}", Phase.COMPLETED, data)
             if number % 1000 == 999:
                 trio.until(lambda: host.replicas.durable >= number - 2000)  # noqa: B023
         trio.until(lambda: host.replicas.durable == records)
         holder = host.replicas.owners[shard].holders[0]
         trio.kill(holder)
-        trio.until(lambda: holder not in host.mesh.ways)
+        trio.until(lambda: holder not in host.mesh.connected_members)
         trio.start(holder, f"{holder}-1")
         trio.longest_s = 0.0
 
         def whole() -> bool:
-            copy = trio.hosts[holder].replicas.copies.get(shard)
-            return copy is not None and copy.complete and copy.kept == records
+            replica = trio.hosts[holder].replicas.held_replicas.get(shard)
+            return replica is not None and replica.complete and replica.persisted == records
 
         took = trio.until(whole)
         click.echo(f"{records:,} records: {took:.2f} s, longest turn {trio.longest_s * 1000:.0f} ms")
--- a/reedmount/peers/mesh.py
+++ b/reedmount/peers/mesh.py
@@ -1,8 +1,9 @@
-"""One TCP connection between each two members: messages about copies, in order while it lasts. No decision.
+"""One TCP connection between each pair of members, for replication messages, in order while it lasts. No
+decisions.
 
-Of two members the one with the smaller name dials, at the address at which the other is heard as a member,
-from the address that it listens at itself. What was on its way when a connection breaks is lost, and both are
-told.
+Of two members the one with the smaller name dials, from its own listening address, to the address at which
+the membership knows the other. Messages in flight when a connection breaks are lost, and both members are
+notified.
 """
 
 from __future__ import annotations
@@ -16,219 +17,222 @@
 from reedmount.core.clock import Clock
 from reedmount.net.connection import Address, Connection, EndReason, listen
 from reedmount.net.loop import Loop
-from reedmount.replicas.messages import FRAME, FrameError, Hello, Message, frame, length_of, unframe
+from reedmount.replicas.messages import FRAME, FrameError, Hello, Message, frame, frame_length, unframe
 
-LOOK_EVERY = timedelta(milliseconds=250)
-DIAL_AGAIN = timedelta(milliseconds=500)
-DIAL_WAIT = timedelta(seconds=2)
-GREET_WAIT = timedelta(seconds=2)  # for the first message of whoever connects
-BEAT_EVERY = timedelta(milliseconds=500)  # where nothing else is said
-SILENT = timedelta(seconds=2)  # a way that brings nothing for so long is as good as cut
-MAX_QUEUE = 32 << 20  # bytes that wait for one member: one that reads so little is parted from
-MAX_GREETING = 64  # connections of which nobody knows yet who is there
+CHECK_INTERVAL = timedelta(milliseconds=250)
+DIAL_RETRY_INTERVAL = timedelta(milliseconds=500)
+DIAL_TIMEOUT = timedelta(seconds=2)
+HELLO_TIMEOUT = timedelta(seconds=2)  # for the first message on a new connection
+HEARTBEAT_INTERVAL = timedelta(milliseconds=500)  # when nothing else is sent
+SILENCE_TIMEOUT = timedelta(seconds=2)  # a connection silent for this long is treated as broken
+MAX_QUEUE = 32 << 20  # bytes queued for one member, beyond which the connection is closed
+MAX_UNIDENTIFIED = 64  # connections whose member is not known yet
 
 
-class Link:
-    """One connection, from its beginning to its end."""
+class MeshConnection:
+    """One connection, from opening to end."""
 
     def __init__(self, mesh: Mesh, connection: Connection, dialled: str = "") -> None:
         self._mesh, self.connection, self.dialled = mesh, connection, dialled
-        self.name = ""  # once the other has said who it is
-        self.began: datetime = mesh.clock.now()
-        self.sent_at = self.began
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
+        self.name = ""  # set by the peer's hello
+        self.opened_at: datetime = mesh.clock.now()
+        self.sent_at = self.opened_at
+        self._unsent: deque[bytes] = deque()
+        self._unsent_bytes = 0
 
     def send(self, message: Message) -> None:
-        """As soon as the connection takes it."""
+        """Queues a message until the connection can take it."""
         data = frame(message)
-        self._waiting.append(data)
-        self._size += len(data)
-        if self._size > MAX_QUEUE:
+        self._unsent.append(data)
+        self._unsent_bytes += len(data)
+        if self._unsent_bytes > MAX_QUEUE:
             COUNTERS.add("mesh.stuck")
             self.close()
         else:
             self.pump()
 
     def pump(self) -> None:
-        """Give the connection what it takes: one message lies there at most that the system did not take."""
-        while self._waiting and self.connection.idle and not self.connection.ended:
-            data = self._waiting.popleft()
-            self._size -= len(data)
+        """Passes queued messages to the connection, which holds at most one that the kernel has not yet
+        taken."""
+        while self._unsent and self.connection.idle and not self.connection.ended:
+            data = self._unsent.popleft()
+            self._unsent_bytes -= len(data)
             COUNTERS.add("mesh.sent")
             COUNTERS.add("mesh.sent_bytes", len(data))
             self.sent_at = self._mesh.clock.now()
             self.connection.send(data)
 
     def ready(self, connection: Connection) -> None:
-        """Bytes have come."""
+        """Reads the complete messages that have been received."""
         ring = connection.incoming
         while not connection.ended and len(ring) >= FRAME.size:
             try:
-                length = length_of(ring.peek(FRAME.size))
+                length = frame_length(ring.peek(FRAME.size))
                 if len(ring) < length:
                     return
                 message = unframe(ring.peek(length))
                 ring.drop(length)
-            except FrameError as fault:
-                COUNTERS.add(f"mesh.dropped.{fault.reason}")
+            except FrameError as error:
+                COUNTERS.add(f"mesh.dropped.{error.reason}")
                 self.close()
                 return
-            self._mesh.heard(self, message)
+            self._mesh.receive(self, message)
 
     def close(self) -> None:
-        """Part."""
+        """Closes the connection and reports its end to the mesh."""
         if not self.connection.ended:
             self.connection.close()
             self._mesh.ended(self)
 
 
 class Mesh:
-    """All connections to other members. It owns the links and the timers of dialling."""
+    """All connections to other members. It owns them and the timers for dialling."""
 
     def __init__(
         self,
         loop: Loop,
         me: Hello,
         address: Address,
-        names: Collection[str],
+        members: Collection[str],
         address_of: Callable[[str], Address | None],
         on_message: Callable[[str, Message], None],
-        on_way: Callable[[str, bool], None],
+        on_reachability: Callable[[str, bool], None],
     ) -> None:
-        """``names``: the others that count. ``address_of``: where one is, None where nobody should dial it.
-        ``on_way`` hears of each way that is there or is not any more. Raises OSError of the listener."""
-        self._loop, self.me, self._own = loop, me, address
-        self._names = frozenset(names) - {me.name}
-        self._address_of, self._on_message, self._on_way = address_of, on_message, on_way
-        self._links: dict[str, Link] = {}  # of those that have said who they are
-        self._greeting: dict[Link, None] = {}  # connected, or about to be
+        """``members``: the voters. ``address_of``: a member's address, None if it should not be dialled.
+        ``on_reachability`` is called when a member becomes reachable or unreachable. Raises OSError if
+        the listener cannot be opened."""
+        self._loop, self.me, self._own_address = loop, me, address
+        self._members = frozenset(members) - {me.name}
+        self._address_of, self._on_message, self._on_reachability = address_of, on_message, on_reachability
+        self._peers: dict[str, MeshConnection] = {}  # identified by their hello
+        self._unidentified: dict[MeshConnection, None] = {}  # connected or dialling
         self._dial_at: dict[str, datetime] = {}
         self._listener = listen(loop, address, self._accepted)
         self._closed = False
-        self._look()
+        self._check_connections()
 
     @property
     def clock(self) -> Clock:
-        """The loop's."""
+        """The loop's clock."""
         return self._loop.clock
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address of the listener."""
         host, port = self._listener.getsockname()[:2]
         return host, port
 
     @property
-    def ways(self) -> list[str]:
-        """To whom there is one."""
-        return sorted(self._links)
+    def connected_members(self) -> list[str]:
+        """The names of the members that are connected."""
+        return sorted(self._peers)
 
     def send(self, to: str, message: Message) -> None:
-        """To a member, or nowhere: whoever sends hears of the way's end and begins anew after that."""
-        link = self._links.get(to)
-        if link is None:
+        """Sends a message to a member. It is dropped if there is no connection: the sender learns from
+        ``on_reachability`` when to start anew."""
+        peer = self._peers.get(to)
+        if peer is None:
             COUNTERS.add("mesh.no_way")
         else:
-            link.send(message)
+            peer.send(message)
 
     def close(self) -> None:
-        """Be gone."""
+        """Closes the listener and all connections."""
         self._closed = True
         self._loop.unwatch(self._listener.fileno())
         self._listener.close()
-        for link in [*self._links.values(), *self._greeting]:
-            link.connection.close()
-        self._links.clear()
-        self._greeting.clear()
+        for peer in [*self._peers.values(), *self._unidentified]:
+            peer.connection.close()
+        self._peers.clear()
+        self._unidentified.clear()
 
-    # --- links ---
+    # --- connections ---
 
-    def heard(self, link: Link, message: Message) -> None:
-        """A message of one link."""
+    def receive(self, peer: MeshConnection, message: Message) -> None:
+        """Handles a message of one connection."""
         COUNTERS.add("mesh.heard")
         if isinstance(message, Hello):
-            if not link.name:
-                self._greeted(link, message)
-        elif link.name:
-            self._on_message(link.name, message)
+            if not peer.name:
+                self._identified(peer, message)
+        elif peer.name:
+            self._on_message(peer.name, message)
         else:
             COUNTERS.add("mesh.dropped.unknown")
-            link.close()
-
-    def ended(self, link: Link) -> None:
-        """A link is no more."""
-        self._greeting.pop(link, None)
-        if link.dialled:
-            self._dial_at[link.dialled] = self.clock.now() + DIAL_AGAIN
-        if link.name and self._links.get(link.name) is link:
-            del self._links[link.name]
+            peer.close()
+
+    def ended(self, peer: MeshConnection) -> None:
+        """A connection has ended."""
+        self._unidentified.pop(peer, None)
+        if peer.dialled:
+            self._dial_at[peer.dialled] = self.clock.now() + DIAL_RETRY_INTERVAL
+        if peer.name and self._peers.get(peer.name) is peer:
+            del self._peers[peer.name]
             COUNTERS.add("mesh.ways_lost")
-            self._on_way(link.name, False)
+            self._on_reachability(peer.name, False)
 
-    def _greeted(self, link: Link, hello: Hello) -> None:
-        known = hello.name in self._names and hello.group == self.me.group
-        if not known or link.dialled not in ("", hello.name):
+    def _identified(self, peer: MeshConnection, hello: Hello) -> None:
+        is_member = hello.name in self._members and hello.group == self.me.group
+        if not is_member or peer.dialled not in ("", hello.name):
             COUNTERS.add("mesh.dropped.stranger")
-            log(f"mesh: {hello.name!r} is no member that counts, or not the one dialled", "mesh.stranger")
-            link.close()
+            log(f"mesh: {hello.name!r} is not a voting member, or not the one dialled", "mesh.stranger")
+            peer.close()
             return
-        before = self._links.pop(hello.name, None)
-        self._greeting.pop(link, None)
-        link.name = hello.name
-        if before is not None:  # the same member by another connection: it knows that the old one is gone
-            before.connection.close()
-            self._on_way(hello.name, False)
-        self._links[hello.name] = link
-        if not link.dialled:
-            link.send(self.me)
+        previous = self._peers.pop(hello.name, None)
+        self._unidentified.pop(peer, None)
+        peer.name = hello.name
+        if previous is not None:  # the same member on a new connection: it has given up the old one
+            previous.connection.close()
+            self._on_reachability(hello.name, False)
+        self._peers[hello.name] = peer
+        if not peer.dialled:
+            peer.send(self.me)
         COUNTERS.add("mesh.ways")
-        self._on_way(hello.name, True)
+        self._on_reachability(hello.name, True)
 
     def _accepted(self, sock: socket.socket) -> None:
-        if len(self._greeting) >= MAX_GREETING:
+        if len(self._unidentified) >= MAX_UNIDENTIFIED:
             COUNTERS.add("mesh.no_room")
             sock.close()
             return
-        made: list[Link] = []
+        created: list[MeshConnection] = []
         connection = Connection(
-            self._loop, sock, lambda _: made[0].ready(connection),
-            lambda *_: self.ended(made[0]), lambda _: made[0].pump(),
+            self._loop, sock, lambda _: created[0].ready(connection),
+            lambda *_: self.ended(created[0]), lambda _: created[0].pump(),
         )  # fmt: skip
-        made.append(Link(self, connection))
-        self._greeting[made[0]] = None
+        created.append(MeshConnection(self, connection))
+        self._unidentified[created[0]] = None
 
     def _dial(self, name: str, address: Address) -> None:
-        made: list[Link] = []
+        created: list[MeshConnection] = []
 
-        def over(_: Connection, end: EndReason) -> None:
-            COUNTERS.add(f"mesh.{end.name.lower()}")
-            self.ended(made[0])
+        def on_ended(_: Connection, reason: EndReason) -> None:
+            COUNTERS.add(f"mesh.{reason.name.lower()}")
+            self.ended(created[0])
 
         connection = Connection.dial(
-            self._loop, address, DIAL_WAIT, lambda it: made[0].ready(it), over, lambda _: made[0].pump(),
-            source=self._own[0],
+            self._loop, address, DIAL_TIMEOUT, lambda it: created[0].ready(it), on_ended,
+            lambda _: created[0].pump(), source=self._own_address[0],
         )  # fmt: skip
-        made.append(Link(self, connection, name))
-        self._greeting[made[0]] = None
-        made[0].send(self.me)
+        created.append(MeshConnection(self, connection, name))
+        self._unidentified[created[0]] = None
+        created[0].send(self.me)
 
-    # --- time ---
+    # --- timers ---
 
-    def _look(self) -> None:
+    def _check_connections(self) -> None:
         if self._closed:
             return
         now = self.clock.now()
-        for link in [*self._greeting, *self._links.values()]:
-            since = link.connection.last_received_at if link.name else link.began
-            if now - since > (SILENT if link.name else GREET_WAIT):
+        for peer in [*self._unidentified, *self._peers.values()]:
+            since = peer.connection.last_received_at if peer.name else peer.opened_at
+            if now - since > (SILENCE_TIMEOUT if peer.name else HELLO_TIMEOUT):
                 COUNTERS.add("mesh.silent")
-                link.close()
-            elif link.name and now - link.sent_at >= BEAT_EVERY:
-                link.send(self.me)
-        dialling = {link.dialled for link in self._greeting}
-        for name in sorted(self._names - self._links.keys() - dialling):
+                peer.close()
+            elif peer.name and now - peer.sent_at >= HEARTBEAT_INTERVAL:
+                peer.send(self.me)
+        dialling = {peer.dialled for peer in self._unidentified}
+        for name in sorted(self._members - self._peers.keys() - dialling):
             address = self._address_of(name)
             if self.me.name < name and address is not None and now >= self._dial_at.get(name, now):
                 self._dial(name, address)
-        self._loop.call_later(LOOK_EVERY, self._look)
+        self._loop.call_later(CHECK_INTERVAL, self._check_connections)
--- a/reedmount/records/call_records.py
+++ b/reedmount/records/call_records.py
@@ -60,8 +60,8 @@
 
     def _records(self) -> Iterator[dict[str, object] | None]:
         for owner in self._replication.replicas.owners.values():
-            for entry in owner.copy:
-                if entry.phase is Phase.OVER:
+            for entry in owner.replica:
+                if entry.phase is Phase.COMPLETED:
                     yield self._shown(entry)
 
     def _shown(self, entry: Entry) -> dict[str, object] | None:
@@ -81,7 +81,7 @@
         held = CallRecord(
             offer.name, offer.call_class, offer.number, micros(at), reference=offer.reference[:MAX_REFERENCE]
         )
-        self._held[offer.name] = self._hold(Phase.TAKEN, held), held
+        self._held[offer.name] = self._hold(Phase.ACCEPTED, held), held
 
     def call_rejected(self, name: str, outcome: str, attempts: int, server: str, answer: Then) -> None:
         """It is refused or has failed: its caller is told once its record is safe, or the wait is over."""
@@ -127,13 +127,13 @@
             held, answered_us=micros(self._loop.clock.now()), outcome="stands", attempts=attempts,
             server=server, sides=sides,
         )  # fmt: skip
-        self._held[name] = self._hold(Phase.STANDS, held, shard, lambda _: then()), held
+        self._held[name] = self._hold(Phase.ESTABLISHED, held, shard, lambda _: then()), held
 
     # --- what the copies tell ---
 
-    def taken_over(self, shard: ShardId, entry: Entry, done: Callable[[bytes], None]) -> None:
+    def finish_call(self, shard: ShardId, entry: Entry, done: Callable[[bytes], None]) -> None:
         """A dead border controller's call: release its sides, complete its record."""
-        self.inherits(shard, (entry.key,))
+        self.inherit_records(shard, (entry.key,))
         try:
             held = decode(entry.data)
         except ValueError as error:
@@ -150,24 +150,24 @@
             held, ended_us=micros(self._loop.clock.now()), outcome=how, finished_by=self._name, sides=()
         )))  # fmt: skip
 
-    def inherits(self, shard: ShardId, keys: Collection[str]) -> None:
+    def inherit_records(self, shard: ShardId, keys: Collection[str]) -> None:
         """Complete records of a dead one: they are kept as long as our own."""
         now = self._loop.clock.now()
         self._complete += [(now, key, shard) for key in keys]
 
-    def let_go(self, entry: Entry) -> None:
+    def release_call(self, entry: Entry) -> None:
         """Another member has this call of ours: it released it, and we let go of it, without a record."""
         COUNTERS.add("records.let_go")
         self._held.pop(entry.key, None)
         self._switch.terminate(entry.key)
 
-    def goes_on(self, entry: Entry) -> None:
+    def replicate_again(self, entry: Entry) -> None:
         """Nobody else ever heard of this one: it is held anew, in the shard that we have now."""
         known = self._held.get(entry.key)
         if known is None:
             return
         held = known[1]
-        self._held[entry.key] = self._hold(Phase.STANDS if held.sides else Phase.TAKEN, held), held
+        self._held[entry.key] = self._hold(Phase.ESTABLISHED if held.sides else Phase.ACCEPTED, held), held
 
     # --- keeping ---
 
@@ -184,7 +184,7 @@
 
     def _finish(self, shard: ShardId, held: CallRecord, then: Callable[[bool], None] | None = None) -> None:
         COUNTERS.add("records.complete")
-        where = self._hold(Phase.OVER, held, shard, then)
+        where = self._hold(Phase.COMPLETED, held, shard, then)
         self._complete.append((self._loop.clock.now(), held.name, where))
 
     def _sweep(self) -> None:
--- a/reedmount/replicas/__init__.py
+++ b/reedmount/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of what members hold for others: who keeps them, what is durable, who acts for the dead. No I/O."""
+"""Replicated call records: placement, durability and failover of per-member shards. No I/O."""
--- a/reedmount/replicas/failover.py
+++ b/reedmount/replicas/failover.py
@@ -1,8 +1,9 @@
-"""Who acts for an owner that is gone, when, and with what. No I/O.
+"""Failover: which holder takes over the shards of a dead owner, when, and with which entries. No I/O.
 
-Only in a majority; the first holder in the set's order that is alive, a later one after a while in which the
-one before it did nothing. It needs a promise of a higher term from f + 1 complete copies, its own among them:
-of these one has every step that was durable. The docstring of ``Round`` has what is done with fewer.
+A member takes over only while it has a quorum. The first live holder in placement order starts an election;
+each later one waits until those before it have had time to. An election is won with promises of a higher
+term from f + 1 complete replicas, the member's own included: at least one of them has every durable step.
+See ``Election`` for what happens with fewer.
 """
 
 from __future__ import annotations
@@ -13,163 +14,169 @@
 from typing import Protocol
 
 from reedmount.core.checks import COUNTERS
-from reedmount.replicas.holder import Holder
-from reedmount.replicas.messages import Entry, Old, Prepare, Promise, ShardId, Term
+from reedmount.replicas.holder import ReplicaHolder
+from reedmount.replicas.messages import Entry, Prepare, Promise, ShardId, StaleTerm, Term
 from reedmount.replicas.owner import Send
 from reedmount.replicas.placement import holders
-from reedmount.replicas.shard_replica import Copy
+from reedmount.replicas.shard_replica import ShardReplica
 
-PATIENCE = timedelta(seconds=2)  # for the holder before us, and for promises that do not come
-ASK_AGAIN = timedelta(milliseconds=500)
-QUIET = timedelta(milliseconds=1500)  # whose writer was heard since is not gone, though our view is behind
+FAILOVER_TIMEOUT = timedelta(seconds=2)  # per preceding holder, and for missing promises
+PREPARE_RETRY = timedelta(milliseconds=500)
+WRITER_QUIET_TIME = timedelta(
+    milliseconds=1500
+)  # a writer heard within this time is alive, even if the membership view lags
 
 
-class Sight(Protocol):
-    """What the members' view says."""
+class MembershipView(Protocol):
+    """What the failover needs to know of the membership."""
 
     @property
     def has_quorum(self) -> bool:
-        """Whether we are in a majority."""
+        """Whether this member is part of a majority."""
 
     def boot_id_of(self, name: str) -> int | None:
-        """Of a member that is alive or suspected; None where it is dead, has left or is not known."""
+        """The boot id of a member that is alive or suspected; None if it is dead, has left or is unknown."""
 
 
 @dataclass(slots=True)
-class Round:
-    """One try to get a term. With f + 1 complete copies every durable step is among them. Where these do not
-    come within ``PATIENCE`` more has failed than f: what there is is taken all the same, and counted, since a
-    call that is released without a promise harms nobody and one that is kept up for nobody does."""
+class Election:
+    """One attempt to win a term. With f + 1 complete replicas, every durable step is among them. If these
+    do not arrive within ``FAILOVER_TIMEOUT``, more than f members have failed. The entries at hand are
+    then taken over all the same and the case is counted: releasing a call whose durability was never
+    confirmed does no harm, whereas a call that nobody releases stays up for no one."""
 
     term: Term
-    begun: datetime
-    asked_at: datetime
-    copies: dict[str, Promise] = field(default_factory=dict)  # the last page of each
+    started_at: datetime
+    prepared_at: datetime
+    promises: dict[str, Promise] = field(default_factory=dict)  # last page of each holder
     entries: list[Entry] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
-    """We own it now: the copy has all that could be found, under our term."""
+class TermWon:
+    """This member now owns the shard: the replica has all entries that were found, under the new term."""
 
-    copy: Copy
+    replica: ShardReplica
     holders: tuple[str, ...]
-    short: bool  # of the copies that make it sure
+    incomplete: bool  # fewer than f + 1 complete replicas took part
 
 
-class Succession:
-    """The shards whose owner is gone, and our tries to act for it."""
+class Failover:
+    """Tracks the shards whose owner is dead and this member's elections for them."""
 
-    def __init__(self, me: str, boot_id: int, voters: Collection[str], faults: int, holder: Holder) -> None:
+    def __init__(
+        self, me: str, boot_id: int, voters: Collection[str], faults: int, holder: ReplicaHolder
+    ) -> None:
         self._me, self._boot_id, self._voters = me, boot_id, frozenset(voters)
         self._faults, self._holder = faults, holder
-        self._gone_at: dict[ShardId, datetime] = {}  # since when its owner is, as we see it
-        self._heard_at: dict[ShardId, datetime] = {}  # its writer, while our view calls that gone
-        self._rounds: dict[ShardId, Round] = {}
+        self._owner_lost_at: dict[ShardId, datetime] = {}  # when the owner was first seen dead
+        self._last_written_at: dict[ShardId, datetime] = {}  # last write while the owner was seen as dead
+        self._elections: dict[ShardId, Election] = {}
 
-    def look(self, now: datetime, sight: Sight) -> tuple[list[Send], list[Won]]:
-        """Some time has passed, or the view has changed."""
+    def update(self, now: datetime, view: MembershipView) -> tuple[list[Send], list[TermWon]]:
+        """Called periodically and when the membership view changes: starts, retries and completes
+        elections."""
         sends: list[Send] = []
-        won: list[Won] = []
-        for shard, copy in list(self._holder.copies.items()):
-            if self._in_hand(copy, sight):
-                copy.touched = False
-                self._gone_at.pop(shard, None)
-                self._heard_at.pop(shard, None)
-                self._rounds.pop(shard, None)  # somebody else has a higher term than we asked for
+        won: list[TermWon] = []
+        for shard, replica in list(self._holder.held_replicas.items()):
+            if self._has_live_writer(replica, view):
+                replica.written_recently = False
+                self._owner_lost_at.pop(shard, None)
+                self._last_written_at.pop(shard, None)
+                self._elections.pop(shard, None)  # another member has a higher term than the one requested
                 continue
-            since = self._gone_at.setdefault(shard, now)
-            if copy.touched:
-                copy.touched, self._heard_at[shard] = False, now
-            heard = self._heard_at.get(shard)
-            if not sight.has_quorum or heard is not None and now - heard < QUIET:
+            since = self._owner_lost_at.setdefault(shard, now)
+            if replica.written_recently:
+                replica.written_recently, self._last_written_at[shard] = False, now
+            last_written = self._last_written_at.get(shard)
+            if not view.has_quorum or last_written is not None and now - last_written < WRITER_QUIET_TIME:
                 continue
-            if shard in self._rounds:
-                sends += self._ask_again(now, shard)
-            elif now - since >= PATIENCE * self._before_us(shard, sight):
-                sends += self._begin(now, shard, copy)
-            done = self._maybe_won(now, shard)
-            if done is not None:
-                won.append(done)
-        for shard in self._gone_at.keys() - self._holder.copies.keys():
-            del self._gone_at[shard]
-            self._heard_at.pop(shard, None)
-            self._rounds.pop(shard, None)
+            if shard in self._elections:
+                sends += self._resend_prepares(now, shard)
+            elif now - since >= FAILOVER_TIMEOUT * self._live_holders_before(shard, view):
+                sends += self._start_election(now, shard, replica)
+            result = self._try_win(now, shard)
+            if result is not None:
+                won.append(result)
+        for shard in self._owner_lost_at.keys() - self._holder.held_replicas.keys():
+            del self._owner_lost_at[shard]
+            self._last_written_at.pop(shard, None)
+            self._elections.pop(shard, None)
         return sends, won
 
-    def promised(self, now: datetime, sender: str, message: Promise) -> Won | None:
-        """A copy of somebody else, a page of it."""
-        current = self._rounds.get(message.shard)
-        if current is None or message.term != current.term:
+    def receive_promise(self, now: datetime, sender: str, message: Promise) -> TermWon | None:
+        """Handles one page of a promise, with the entries of another holder's replica."""
+        election = self._elections.get(message.shard)
+        if election is None or message.term != election.term:
             return None
-        current.entries += message.entries
+        election.entries += message.entries
         if not message.last:
             return None
-        current.copies[sender] = message
-        return self._maybe_won(now, message.shard)
-
-    def refused(self, message: Old) -> None:
-        """Somebody has promised a higher term: it is not ours to act, or not with this one."""
-        current = self._rounds.get(message.shard)
-        if current is not None and message.promised > current.term:
-            del self._rounds[message.shard]
-            copy = self._holder.copies.get(message.shard)
-            if copy is not None:
-                copy.promised = max(copy.promised, message.promised)
-            self._gone_at.pop(message.shard, None)
-
-    def _in_hand(self, copy: Copy, sight: Sight) -> bool:
-        """Whether whoever has the highest term that we know of is there, in the life that had it."""
-        by = copy.promised.by
-        return by != self._me and sight.boot_id_of(by) == copy.promised.boot_id
-
-    def _before_us(self, shard: ShardId, sight: Sight) -> int:
-        """How many holders before us are there: each has its time to act."""
-        order = holders(shard.owner, self._voters, self._faults)
-        before = order[: order.index(self._me)] if self._me in order else order
-        return sum(sight.boot_id_of(name) is not None for name in before)
-
-    def _others(self, shard: ShardId) -> tuple[str, ...]:
-        order = holders(shard.owner, self._voters, self._faults)
-        return tuple(name for name in order if name != self._me)
-
-    def _begin(self, now: datetime, shard: ShardId, copy: Copy) -> list[Send]:
-        term = Term(copy.promised.number + 1, self._me, self._boot_id)
+        election.promises[sender] = message
+        return self._try_win(now, message.shard)
+
+    def handle_stale_term(self, message: StaleTerm) -> None:
+        """Another member has promised a higher term: abandons the election."""
+        election = self._elections.get(message.shard)
+        if election is not None and message.promised > election.term:
+            del self._elections[message.shard]
+            replica = self._holder.held_replicas.get(message.shard)
+            if replica is not None:
+                replica.promised = max(replica.promised, message.promised)
+            self._owner_lost_at.pop(message.shard, None)
+
+    def _has_live_writer(self, replica: ShardReplica, view: MembershipView) -> bool:
+        """Whether the highest known term is another member's that is alive and has not restarted since."""
+        writer = replica.promised.member
+        return writer != self._me and view.boot_id_of(writer) == replica.promised.boot_id
+
+    def _live_holders_before(self, shard: ShardId, view: MembershipView) -> int:
+        """How many live holders precede this member: each gets its time to take over first."""
+        ranked = holders(shard.owner, self._voters, self._faults)
+        preceding = ranked[: ranked.index(self._me)] if self._me in ranked else ranked
+        return sum(view.boot_id_of(name) is not None for name in preceding)
+
+    def _other_holders(self, shard: ShardId) -> tuple[str, ...]:
+        ranked = holders(shard.owner, self._voters, self._faults)
+        return tuple(name for name in ranked if name != self._me)
+
+    def _start_election(self, now: datetime, shard: ShardId, replica: ShardReplica) -> list[Send]:
+        term = Term(replica.promised.number + 1, self._me, self._boot_id)
         if not self._holder.promise(shard, term):
             return []
         COUNTERS.add("replicas.rounds")
-        self._rounds[shard] = Round(term, now, now)
-        return [Send(name, Prepare(shard, term)) for name in self._others(shard)]
+        self._elections[shard] = Election(term, now, now)
+        return [Send(name, Prepare(shard, term)) for name in self._other_holders(shard)]
 
-    def _ask_again(self, now: datetime, shard: ShardId) -> list[Send]:
-        current = self._rounds[shard]
-        if now - current.asked_at < ASK_AGAIN:
+    def _resend_prepares(self, now: datetime, shard: ShardId) -> list[Send]:
+        election = self._elections[shard]
+        if now - election.prepared_at < PREPARE_RETRY:
             return []
-        current.asked_at = now
+        election.prepared_at = now
         return [
-            Send(name, Prepare(shard, current.term))
-            for name in self._others(shard) if name not in current.copies
+            Send(name, Prepare(shard, election.term))
+            for name in self._other_holders(shard) if name not in election.promises
         ]  # fmt: skip
 
-    def _maybe_won(self, now: datetime, shard: ShardId) -> Won | None:
-        current, copy = self._rounds.get(shard), self._holder.copies.get(shard)
-        if current is None or copy is None:
+    def _try_win(self, now: datetime, shard: ShardId) -> TermWon | None:
+        election, replica = self._elections.get(shard), self._holder.held_replicas.get(shard)
+        if election is None or replica is None:
             return None
-        complete = copy.complete + sum(promise.complete for promise in current.copies.values())
-        short = complete <= self._faults
-        if short and now - current.begun < PATIENCE:
+        complete = replica.complete + sum(promise.complete for promise in election.promises.values())
+        incomplete = complete <= self._faults
+        if incomplete and now - election.started_at < FAILOVER_TIMEOUT:
             return None
-        if copy.promised != current.term:
-            del self._rounds[shard]
+        if replica.promised != election.term:
+            del self._elections[shard]
             return None
-        del self._rounds[shard]
-        self._gone_at.pop(shard, None)
-        self._heard_at.pop(shard, None)
-        if short:
+        del self._elections[shard]
+        self._owner_lost_at.pop(shard, None)
+        self._last_written_at.pop(shard, None)
+        if incomplete:
             COUNTERS.add("replicas.short")
         COUNTERS.add("replicas.taken_over")
-        copy.merge(current.entries)
-        copy.seq = max([copy.seq, *(promise.seq for promise in current.copies.values())])
-        copy.term, copy.complete = current.term, True
-        del self._holder.copies[shard]
-        return Won(copy, self._others(shard), short)
+        replica.merge(election.entries)
+        replica.seq = max([replica.seq, *(promise.seq for promise in election.promises.values())])
+        replica.term, replica.complete = election.term, True
+        del self._holder.held_replicas[shard]
+        return TermWon(replica, self._other_holders(shard), incomplete)
--- a/reedmount/replicas/holder.py
+++ b/reedmount/replicas/holder.py
@@ -1,4 +1,5 @@
-"""The copies that we keep for others: what is taken, what is promised, what is answered. No I/O."""
+"""Replicas held for other members: accepts steps and snapshots, keeps promised terms, sends
+acknowledgements. No I/O."""
 
 from __future__ import annotations
 
@@ -11,142 +12,147 @@
     Append,
     Close,
     Entry,
-    Old,
     Prepare,
     Promise,
     ShardId,
     Snapshot,
+    StaleTerm,
     Term,
-    parts,
+    split_entries,
 )  # fmt: skip
 from reedmount.replicas.owner import Send
-from reedmount.replicas.shard_replica import Copy
+from reedmount.replicas.shard_replica import ShardReplica
 
-MAX_SHARDS = 4096  # of others: the lives of all members that are not closed yet
+MAX_SHARDS = 4096  # held for others: a shard per process start of each member that is not closed yet
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """Words for the disk; ``seq`` is where the copy stands with them, None where more has to come first."""
+class PendingWrite:
+    """Entries to persist. ``seq`` is the replica's position once they are persisted; None for the pages
+    of a snapshot before the last."""
 
     shard: ShardId
     seq: int | None
     entries: list[Entry]
 
 
-class Holder:
-    """It owns the copies. What is taken is given to ``keep`` (the disk); it is answered once ``kept``."""
+class ReplicaHolder:
+    """Owns the replicas held for others. Accepted entries go to ``pending_writes`` (the disk), and are
+    acknowledged once ``persisted`` is called."""
 
     def __init__(self) -> None:
-        self.copies: dict[ShardId, Copy] = {}
-        self.keep: list[Kept] = []  # for the disk, in order; the owner of this takes it
-        self.gone: list[ShardId] = []  # closed, for the disk to forget
-        self.pruned: list[tuple[ShardId, list[str]]] = []  # calls of which nothing is kept any more
-        self._owed: dict[ShardId, str] = {}  # who is answered once it is kept
+        self.held_replicas: dict[ShardId, ShardReplica] = {}
+        self.pending_writes: list[PendingWrite] = []  # to persist, in order; drained by the caller
+        self.closed_shards: list[ShardId] = []  # to delete from disk
+        self.pruned: list[tuple[ShardId, list[str]]] = []  # calls to delete from disk
+        self._ack_to: dict[ShardId, str] = {}  # member to acknowledge to once the writes are persisted
 
     def append(self, sender: str, message: Append) -> list[Send]:
-        """The next steps, where they follow on what is here; else the answer says what is."""
-        copy, refusal = self._copy(sender, message.shard, message.term)
-        if copy is None:
+        """Appends the steps that follow on the replica's position; otherwise answers with that position."""
+        replica, refusal = self._find_replica(sender, message.shard, message.term)
+        if replica is None:
             return refusal
-        copy.touched = True
-        fits = copy.complete and copy.term == message.term
-        if fits and message.after <= copy.seq:
-            news = [entry for entry in message.entries if entry.seq > copy.seq]
-            for entry in news:
-                copy.add(entry)
-            pruned = copy.prune(message.settled)
+        replica.written_recently = True
+        in_sequence = replica.complete and replica.term == message.term
+        if in_sequence and message.after <= replica.seq:
+            new_entries = [entry for entry in message.entries if entry.seq > replica.seq]
+            for entry in new_entries:
+                replica.add(entry)
+            pruned = replica.prune(message.settled)
             if pruned:
                 self.pruned.append((message.shard, pruned))
-            if news:
-                self._keep(sender, copy, news)
+            if new_entries:
+                self._persist(sender, replica, new_entries)
                 return []
-        return [self._ack(sender, copy, fits)]
+        return [self._ack(sender, replica, in_sequence)]
 
     def snapshot(self, sender: str, message: Snapshot) -> list[Send]:
-        """All of a shard, page by page: each is answered, so that no more comes than we can take."""
-        copy, refusal = self._copy(sender, message.shard, message.term)
-        if copy is None:
+        """Receives a page of a snapshot. Each page is acknowledged, so that the owner sends no more than
+        this member can take."""
+        replica, refusal = self._find_replica(sender, message.shard, message.term)
+        if replica is None:
             return refusal
-        copy.touched = True
-        if not copy.page(message.page, message.term, message.upto, message.entries):
-            return [self._ack(sender, copy, False)]
+        replica.written_recently = True
+        if not replica.add_page(message.page, message.term, message.end_seq, message.entries):
+            return [self._ack(sender, replica, False)]
         if not message.last:
-            # Each page goes to the disk as it comes: all of them at once would keep calls waiting.
-            self.keep.append(Kept(copy.shard, None, message.entries))
-            return [self._ack(sender, copy, False)]
-        gone = copy.whole()
-        if gone:
-            self.pruned.append((copy.shard, gone))
-        copy.kept = 0
-        self._keep(sender, copy, message.entries)
+            # Each page is written as it arrives: writing all of them at once would delay calls.
+            self.pending_writes.append(PendingWrite(replica.shard, None, message.entries))
+            return [self._ack(sender, replica, False)]
+        dropped_keys = replica.install_snapshot()
+        if dropped_keys:
+            self.pruned.append((replica.shard, dropped_keys))
+        replica.persisted = 0
+        self._persist(sender, replica, message.entries)
         return []
 
-    def _keep(self, sender: str, copy: Copy, entries: list[Entry]) -> None:
-        self.keep.append(Kept(copy.shard, copy.seq, entries))
-        self._owed[copy.shard] = sender
+    def _persist(self, sender: str, replica: ShardReplica, entries: list[Entry]) -> None:
+        self.pending_writes.append(PendingWrite(replica.shard, replica.seq, entries))
+        self._ack_to[replica.shard] = sender
 
-    def kept(self, shard: ShardId, seq: int) -> list[Send]:
-        """What was given to ``keep`` up to here is where it should be: say so."""
-        copy = self.copies.get(shard)
-        if copy is None or not copy.complete:
+    def persisted(self, shard: ShardId, seq: int) -> list[Send]:
+        """Pending writes up to ``seq`` have been persisted: acknowledges them."""
+        replica = self.held_replicas.get(shard)
+        if replica is None or not replica.complete:
             return []
-        copy.kept = max(copy.kept, min(seq, copy.seq))
-        sender = self._owed.get(shard)
+        replica.persisted = max(replica.persisted, min(seq, replica.seq))
+        sender = self._ack_to.get(shard)
         if sender is None:
             return []
-        if copy.kept == copy.seq:
-            del self._owed[shard]
-        return [self._ack(sender, copy, True)]
+        if replica.persisted == replica.seq:
+            del self._ack_to[shard]
+        return [self._ack(sender, replica, True)]
 
     def restore(self, shard: ShardId, term: Term, entries: Iterable[Entry]) -> None:
-        """What a disk brought back."""
-        copy = self.copies[shard] = Copy(shard, term, complete=False)
-        copy.merge(entries)
+        """Adds a replica that was read from disk."""
+        replica = self.held_replicas[shard] = ShardReplica(shard, term, complete=False)
+        replica.merge(entries)
 
     def prepare(self, sender: str, message: Prepare) -> list[Send]:
-        """Somebody wants to act for an owner: promise, and tell what is here."""
-        copy, refusal = self._copy(sender, message.shard, message.term)
-        if copy is None:
+        """A member wants to take over a shard: promises its term and sends it the entries held here."""
+        replica, refusal = self._find_replica(sender, message.shard, message.term)
+        if replica is None:
             return refusal
-        pages = parts(list(copy))
-        shard, term, complete, seq = message.shard, message.term, copy.complete, copy.seq
+        pages = split_entries(list(replica))
+        shard, term, complete, seq = message.shard, message.term, replica.complete, replica.seq
         return [Send(sender, Promise(shard, term, complete, seq, page is pages[-1], page)) for page in pages]
 
     def close(self, sender: str, message: Close) -> list[Send]:
-        """Nothing is left in it."""
-        copy = self.copies.get(message.shard)
-        if copy is not None and message.term >= copy.promised:
+        """The shard is empty: deletes its replica."""
+        replica = self.held_replicas.get(message.shard)
+        if replica is not None and message.term >= replica.promised:
             self.forget(message.shard)
         return []
 
     def forget(self, shard: ShardId) -> None:
-        """Have no copy of it any more."""
-        if self.copies.pop(shard, None) is not None:
-            self.gone.append(shard)
+        """Deletes the replica of a shard."""
+        if self.held_replicas.pop(shard, None) is not None:
+            self.closed_shards.append(shard)
 
     def promise(self, shard: ShardId, term: Term) -> bool:
-        """Promise ourselves; False where a higher term is promised."""
-        copy = self.copies.get(shard)
-        if copy is None or term < copy.promised:
+        """Promises a term to this member itself; False if a higher term has been promised."""
+        replica = self.held_replicas.get(shard)
+        if replica is None or term < replica.promised:
             return False
-        copy.promised = term
+        replica.promised = term
         return True
 
-    def _copy(self, sender: str, shard: ShardId, term: Term) -> tuple[Copy | None, list[Send]]:
-        copy = self.copies.get(shard)
-        if copy is None:
-            if len(self.copies) >= MAX_SHARDS:
+    def _find_replica(
+        self, sender: str, shard: ShardId, term: Term
+    ) -> tuple[ShardReplica | None, list[Send]]:
+        replica = self.held_replicas.get(shard)
+        if replica is None:
+            if len(self.held_replicas) >= MAX_SHARDS:
                 COUNTERS.add("replicas.no_room")
                 return None, []
-            copy = self.copies[shard] = Copy(shard, term, complete=False)
-        if term < copy.promised:
+            replica = self.held_replicas[shard] = ShardReplica(shard, term, complete=False)
+        if term < replica.promised:
             COUNTERS.add("replicas.old_terms")
-            return None, [Send(sender, Old(shard, copy.promised))]
-        copy.promised = term
-        return copy, []
+            return None, [Send(sender, StaleTerm(shard, replica.promised))]
+        replica.promised = term
+        return replica, []
 
     @staticmethod
-    def _ack(sender: str, copy: Copy, complete: bool) -> Send:
-        seq = copy.kept if complete else copy.upto
-        return Send(sender, Ack(copy.shard, copy.promised, seq, complete, copy.pages))
+    def _ack(sender: str, replica: ShardReplica, complete: bool) -> Send:
+        seq = replica.persisted if complete else replica.end_seq
+        return Send(sender, Ack(replica.shard, replica.promised, seq, complete, replica.pages_received))
--- a/reedmount/replicas/messages.py
+++ b/reedmount/replicas/messages.py
@@ -1,9 +1,10 @@
-"""What members say to each other of copies: shards, terms, entries and the messages, checked and bounded.
+"""Messages between members for replication: shards, terms, entries; checked and bounded when they are read.
 
     length 4 | CRC-32C 4 | message in MessagePack
 
-Messages are arrays with their kind first, to which later versions add at the end; a reader skips what it does
-not know. What cannot be read ends the connection with a reason to count: behind it nothing can be trusted.
+Messages are arrays with their type first. Later versions may append fields; a reader ignores those it does
+not know. An unreadable message ends the connection with a reason that is counted, because nothing after it
+can be trusted.
 """
 
 from __future__ import annotations
@@ -18,30 +19,31 @@
 
 from reedmount.members.record import MAX_NAME, Word
 
-MAX_KEY = 120  # bytes of a call's name
-MAX_DATA = 16_384  # of what is kept of a call
-MAX_ENTRIES = 128  # in one message
-MAX_FRAME = 32_000  # bytes of a message: a connection reads no more at once
-BODY = 12_288  # of entries, after which the next message begins
+MAX_KEY = 120  # bytes of a call's key
+MAX_DATA = 16_384  # bytes of data per call
+MAX_ENTRIES = 128  # per message
+MAX_FRAME = 32_000  # bytes of a message; a connection reads no more at once
+MAX_BODY = 12_288  # bytes of entries, after which the next message begins
 FRAME = struct.Struct(">II")
 MAX_SEQ = 2**53
-ENTRY_HEAD = MAX_KEY + 2 * MAX_NAME + 40  # bytes at most beside its data
+ENTRY_OVERHEAD = MAX_KEY + 2 * MAX_NAME + 40  # upper bound of the bytes of an entry besides its data
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
 Seq = Annotated[int, Meta(ge=0, le=MAX_SEQ)]
 
 
 class Phase(IntEnum):
-    """How far a call has come; of two words of it the later phase holds."""
+    """The phase of a call; of two entries of a call the one with the later phase is retained."""
 
-    TAKEN = 0
-    STANDS = 1
-    OVER = 2  # its record is complete
-    DROPPED = 3  # exported: nothing is kept any more
+    ACCEPTED = 0
+    ESTABLISHED = 1
+    COMPLETED = 2  # its record is complete
+    DROPPED = 3  # exported: nothing is retained
 
 
 class ShardId(msgspec.Struct, frozen=True, array_like=True, order=True, gc=False):
-    """What one life of a member holds. A new epoch begins where somebody else has taken the one before."""
+    """The calls of one process of a member. A new epoch begins when another member has taken over the
+    previous one."""
 
     owner: Name
     boot_id: Word
@@ -49,17 +51,18 @@
 
 
 class Term(msgspec.Struct, frozen=True, array_like=True, order=True, gc=False):
-    """Who may write to a shard: the greater one. The owner's is the first, by birth. A term is of one life:
-    what a process promised itself dies with it."""
+    """The right to write to a shard; the greater term wins. The shard's creator has the first term. A
+    term is bound to a boot id, because a promise a process made to itself is lost when it ends."""
 
     number: Annotated[int, Meta(ge=1, le=2**31)]
-    by: Name
+    member: Name
     boot_id: Word
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One step of one call. ``seq`` counts the steps of its shard without gaps. Many are kept, and none in a
-    ring: the collector, which would stop the calls for it, is spared them."""
+    """One step of one call. ``seq`` numbers the steps of a shard without gaps. Very many are held, none
+    of them in a reference cycle: ``gc=False`` spares the garbage collector, whose pauses would delay
+    calls."""
 
     seq: Seq
     key: Annotated[str, Meta(min_length=1, max_length=MAX_KEY)]
@@ -69,12 +72,12 @@
 
     @property
     def rank(self) -> tuple[Phase, Term]:
-        """Of two words of one call the greater holds."""
+        """Of two entries of a call the one with the greater rank is retained."""
         return self.phase, self.term
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Who is at the other end; the first message each way."""
+    """Identifies the sender; the first message in each direction."""
 
     name: Name
     boot_id: Word
@@ -82,8 +85,8 @@
 
 
 class Append(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """What comes behind ``after`` in a shard. Without entries: where are you? Up to ``settled`` every copy
-    has all: what is dropped before that may be forgotten."""
+    """The steps after ``after``. Without entries it asks for the holder's position. Every replica has all
+    steps up to ``settled``, so that calls dropped before that can be pruned."""
 
     shard: ShardId
     term: Term
@@ -93,19 +96,20 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """All that holds up to ``upto``, in pages from 0 on; whole, it takes the place of what was there."""
+    """One page, counted from 0, of all entries up to ``end_seq``; once complete, it replaces the holder's
+    entries."""
 
     shard: ShardId
     term: Term
-    upto: Seq
+    end_seq: Seq
     page: Annotated[int, Meta(ge=0, le=2**31)]
     last: bool
     entries: Annotated[list[Entry], Meta(max_length=MAX_ENTRIES)]
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Everything up to ``seq`` is kept here. ``complete`` False: it wants a snapshot, and has so many
-    ``pages`` of the one that ends at ``seq``."""
+    """All steps up to ``seq`` are persisted by the holder. With ``complete`` False it needs a snapshot,
+    and has received ``pages`` pages of the one that ends at ``seq``."""
 
     shard: ShardId
     term: Term
@@ -114,22 +118,22 @@
     pages: Annotated[int, Meta(ge=0, le=2**31)] = 0
 
 
-class Old(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A higher term is promised here."""
+class StaleTerm(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """The request was rejected, as a higher term has been promised."""
 
     shard: ShardId
     promised: Term
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Promise me this term, and tell me what you have."""
+    """Asks for a promise of this term and for the entries held."""
 
     shard: ShardId
     term: Term
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Promised. What is kept here, in parts."""
+    """The term is promised; carries one page of the entries held."""
 
     shard: ShardId
     term: Term
@@ -140,17 +144,17 @@
 
 
 class Close(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Nothing is left in this shard: forget it."""
+    """The shard is empty and can be deleted."""
 
     shard: ShardId
     term: Term
 
 
-Message = Hello | Append | Snapshot | Ack | Old | Prepare | Promise | Close
+Message = Hello | Append | Snapshot | Ack | StaleTerm | Prepare | Promise | Close
 
 
 class FrameError(Exception):
-    """Bytes that are no message; ``reason`` names the counter."""
+    """Bytes that are not a valid message; ``reason`` is the suffix of the counter."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -162,13 +166,13 @@
 
 
 def frame(message: Message) -> bytes:
-    """A message as it travels."""
+    """Encodes a message with its frame header."""
     body = _encode(message)
     return FRAME.pack(len(body), crc32c.crc32c(body)) + body
 
 
-def length_of(head: bytes) -> int:
-    """How long the message is that this head announces, the head included. Raises FrameError."""
+def frame_length(head: bytes) -> int:
+    """The length of the whole frame, header included, from its header. Raises FrameError."""
     length, _ = FRAME.unpack_from(head)
     if length > MAX_FRAME:
         raise FrameError("long")
@@ -176,7 +180,7 @@
 
 
 def unframe(data: bytes) -> Message:
-    """The message of a whole frame. Raises FrameError: ``damaged`` or ``malformed``."""
+    """Decodes the message of a complete frame. Raises FrameError: ``damaged`` or ``malformed``."""
     length, check = FRAME.unpack_from(data)
     body = data[FRAME.size :]
     if len(body) != length or crc32c.crc32c(body) != check:
@@ -188,15 +192,15 @@
     return message
 
 
-def parts(entries: list[Entry]) -> list[list[Entry]]:
-    """Entries as they fit into messages; one empty part where there are none."""
-    made: list[list[Entry]] = [[]]
+def split_entries(entries: list[Entry]) -> list[list[Entry]]:
+    """Splits entries into batches that fit into one message each; one empty batch if there are none."""
+    batches: list[list[Entry]] = [[]]
     size = 0
     for entry in entries:
-        length = len(entry.data) + ENTRY_HEAD
-        if made[-1] and (size + length > BODY or len(made[-1]) == MAX_ENTRIES):
-            made.append([])
+        length = len(entry.data) + ENTRY_OVERHEAD
+        if batches[-1] and (size + length > MAX_BODY or len(batches[-1]) == MAX_ENTRIES):
+            batches.append([])
             size = 0
-        made[-1].append(entry)
+        batches[-1].append(entry)
         size += length
-    return made
+    return batches
--- a/reedmount/replicas/replicas.py
+++ b/reedmount/replicas/replicas.py
@@ -1,8 +1,9 @@
-"""All shards of one member: what it owns, what it keeps for others, whom it acts for. No I/O.
+"""Replication state of one member: the shards it owns, the replicas it holds for others, and failovers. No
+I/O.
 
-    (now, step of a call, message, view, time) -> messages, what is durable, taken over or lost
+    (now, step of a call, message, membership view, time) -> messages, durable steps, takeovers, fencing
 
-The owner of this carries out ``taken()`` after each call, in order.
+The caller carries out ``take_outputs()`` after each call, in order.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from datetime import datetime
 
 from reedmount.core.checks import COUNTERS
-from reedmount.replicas.failover import PATIENCE, Sight, Succession, Won
-from reedmount.replicas.holder import Holder, Kept
+from reedmount.replicas.failover import FAILOVER_TIMEOUT, Failover, MembershipView, TermWon
+from reedmount.replicas.holder import PendingWrite, ReplicaHolder
 from reedmount.replicas.messages import (
     Ack,
     Append,
@@ -21,23 +22,23 @@
     Entry,
     Hello,
     Message,
-    Old,
     Phase,
     Prepare,
     Promise,
     ShardId,
     Snapshot,
+    StaleTerm,
     Term,
 )  # fmt: skip
-from reedmount.replicas.owner import Durable, Owner, Send
+from reedmount.replicas.owner import Durable, Send, ShardOwner
 from reedmount.replicas.placement import holders
-from reedmount.replicas.shard_replica import Copy
+from reedmount.replicas.shard_replica import ShardReplica
 
 
 @dataclass(frozen=True, slots=True)
 class TakenOver:
-    """We act for a dead owner from now on: these calls are not finished, and it is ours to finish them; and
-    the keys of those that are, which are ours to drop some day."""
+    """This member has taken over a dead owner's shard. ``unfinished`` are the calls that it now has to
+    finish; ``finished`` are the keys of completed ones, which it drops when they expire."""
 
     shard: ShardId
     unfinished: tuple[Entry, ...]
@@ -46,239 +47,249 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Somebody has taken a shard of ours. ``theirs``: calls that others may know of; whoever has it now
-    releases them, and we let go of them. ``ours``: nobody ever heard of these; they go on, elsewhere."""
+    """Another member has taken over a shard of this one. ``sent``: entries that other members may know
+    of; the new owner releases those calls, and this member drops them. ``unsent``: entries that never
+    left this member; those calls continue in another shard."""
 
     shard: ShardId
-    theirs: tuple[Entry, ...]
-    ours: tuple[Entry, ...]
+    sent: tuple[Entry, ...]
+    unsent: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Forget:
-    """A shard is closed, for the disk."""
+    """A shard is closed and can be deleted from disk."""
 
     shard: ShardId
 
 
 @dataclass(frozen=True, slots=True)
 class Pruned:
-    """These calls are dropped everywhere, for the disk."""
+    """These calls have been dropped on all replicas and can be deleted from disk."""
 
     shard: ShardId
     keys: tuple[str, ...]
 
 
-Output = Send | Durable | Kept | TakenOver | Fenced | Forget | Pruned
+Output = Send | Durable | PendingWrite | TakenOver | Fenced | Forget | Pruned
 
 
 class Replicas:
-    """It owns the owners, the holder and the succession."""
+    """Owns the shard owners, the replica holder and the failover state."""
 
     def __init__(self, me: str, boot_id: int, voters: Collection[str], faults: int) -> None:
-        """``faults``: f, the machines that may be lost at once with their disks, 0 to 3."""
+        """``faults``: f, the number of machines that may be lost at once with their disks, 0 to 3."""
         self._me, self._boot_id, self._voters, self._faults = me, boot_id, frozenset(voters), faults
-        self._holder = Holder()
-        self._succession = Succession(me, boot_id, voters, faults, self._holder)
-        self._owners: dict[ShardId, Owner] = {}
-        self._finishing: dict[ShardId, datetime] = {}  # taken over then, not durable under our term yet
+        self._holder = ReplicaHolder()
+        self._failover = Failover(me, boot_id, voters, faults, self._holder)
+        self._owners: dict[ShardId, ShardOwner] = {}
+        # By time of the takeover, while what was taken over is not durable under our term yet.
+        self._pending_takeovers: dict[ShardId, datetime] = {}
         self._connected: set[str] = set()
-        self._closed: list[ShardId] = []
-        self._out: list[Output] = []
-        self._begin(0)
+        self._closed_shards: list[ShardId] = []
+        self._outputs: list[Output] = []
+        self._open_shard(0)
 
-    # --- what the owner of this calls ---
+    # --- interface ---
 
     @property
     def shard(self) -> ShardId:
-        """The shard that new calls go to."""
-        return self._own.shard
+        """The shard that new calls are written to."""
+        return self._current_owner.shard
 
     @property
     def durable(self) -> int:
-        """Up to here its steps are."""
-        return self._own.durable
+        """The highest step of the current shard that is durable."""
+        return self._current_owner.durable
 
     def put(self, now: datetime, key: str, phase: Phase, data: bytes, shard: ShardId | None = None) -> int:
-        """The next step of a call, in our shard or in one that we took over; its number, 0 where that shard
-        is ours no more. Goes out with ``flush``."""
-        owner = self._owners.get(shard) if shard is not None else self._own
+        """Appends the next step of a call to the current shard or to one that was taken over. Returns its
+        sequence number, or 0 if this member no longer owns that shard. The step is sent by the next
+        ``flush``."""
+        owner = self._owners.get(shard) if shard is not None else self._current_owner
         if owner is None or owner.fenced:
             COUNTERS.add("replicas.not_ours")
             return 0
         entry = owner.append(key, phase, data)
-        self._out.append(Kept(owner.shard, entry.seq, [owner.copy.get(key) or entry]))
+        self._outputs.append(PendingWrite(owner.shard, entry.seq, [owner.replica.get(key) or entry]))
         return entry.seq
 
     def flush(self, now: datetime) -> None:
-        """All that came in this turn goes out."""
+        """Sends all steps appended since the last flush."""
         for owner in self._owners.values():
             owner.flush(now)
-            self._out += owner.taken()
+            self._outputs += owner.take_outputs()
 
-    def kept(self, now: datetime, shard: ShardId, seq: int) -> None:
-        """The words for the disk up to here are where they should be."""
+    def persisted(self, now: datetime, shard: ShardId, seq: int) -> None:
+        """The pending writes of a shard up to ``seq`` have been persisted locally."""
         owner = self._owners.get(shard)
         if owner is not None:
-            owner.kept_here(seq)
-            self._follow(now, owner)
+            owner.record_local_persisted(seq)
+            self._process_progress(now, owner)
         else:
-            self._out += self._holder.kept(shard, seq)
+            self._outputs += self._holder.persisted(shard, seq)
 
     def connected(self, now: datetime, name: str) -> None:
-        """A way to another member is there."""
+        """A connection to another member has been established."""
         self._connected.add(name)
         for owner in self._owners.values():
             owner.connected(now, name)
-            self._follow(now, owner)
+            self._process_progress(now, owner)
 
-    def lost(self, name: str) -> None:
-        """It is not any more."""
+    def disconnected(self, name: str) -> None:
+        """The connection to a member has been lost."""
         self._connected.discard(name)
         for owner in self._owners.values():
-            owner.lost(name)
+            owner.disconnected(name)
 
-    def heard(self, now: datetime, sender: str, message: Message) -> None:
-        """A message has come."""
+    def receive(self, now: datetime, sender: str, message: Message) -> None:
+        """Handles a message from another member."""
         if isinstance(message, Hello):
             return
         owner = self._owners.get(message.shard)
         match message:
             case Append() | Snapshot() | Close() if owner is not None:
-                if message.term > owner.copy.term:
+                if message.term > owner.replica.term:
                     self._fence(owner)
-                    self._hold(sender, message)
+                    self._update_held(sender, message)
                 else:
-                    self._out.append(Send(sender, Old(message.shard, owner.copy.term)))
+                    self._outputs.append(Send(sender, StaleTerm(message.shard, owner.replica.term)))
             case Append() | Snapshot() | Close():
-                self._hold(sender, message)
+                self._update_held(sender, message)
             case Ack():
                 if owner is not None:
-                    owner.acked(now, sender, message)
-                    self._follow(now, owner)
-            case Old():
-                if owner is not None and message.promised > owner.copy.term:
+                    owner.receive_ack(now, sender, message)
+                    self._process_progress(now, owner)
+            case StaleTerm():
+                if owner is not None and message.promised > owner.replica.term:
                     self._fence(owner)
-                self._succession.refused(message)
+                self._failover.handle_stale_term(message)
             case Prepare():
-                self._prepare(sender, message, owner)
+                self._handle_prepare(sender, message, owner)
             case Promise():
-                won = self._succession.promised(now, sender, message)
+                won = self._failover.receive_promise(now, sender, message)
                 if won is not None:
-                    self._won(now, won)
+                    self._become_owner(now, won)
 
     def restore(self, shard: ShardId, term: Term, entries: Collection[Entry]) -> None:
-        """What the disk had of another's shard, before anything was heard: it goes to whoever acts for its
-        owner, and is never taken for complete. ``term``: the highest that the disk knows of."""
+        """Adds a replica of another member's shard that was read from disk, before any message is
+        received. It contributes to a failover but is never treated as complete. ``term``: the highest
+        term found on disk."""
         if shard.owner != self._me:
             self._holder.restore(shard, term, entries)
 
-    def tick(self, now: datetime, sight: Sight) -> None:
-        """Some time has passed, 100 ms or so, or the view has changed."""
+    def tick(self, now: datetime, view: MembershipView) -> None:
+        """Runs the timers; called about every 100 ms and when the membership view changes."""
         for owner in self._owners.values():
             owner.tick(now)
-            self._follow(now, owner)
-        sends, won = self._succession.look(now, sight)
-        self._out += sends
-        for one in won:
-            self._won(now, one)
-        for shard, since in list(self._finishing.items()):
-            if now - since >= PATIENCE:
+            self._process_progress(now, owner)
+        sends, won = self._failover.update(now, view)
+        self._outputs += sends
+        for term_won in won:
+            self._become_owner(now, term_won)
+        for shard, since in list(self._pending_takeovers.items()):
+            if now - since >= FAILOVER_TIMEOUT:
                 COUNTERS.add("replicas.finished_short")
-                self._finish(shard)
+                self._complete_takeover(shard)
 
-    def taken(self) -> list[Output]:
-        """What is to be carried out, once."""
-        for shard in self._closed:
+    def take_outputs(self) -> list[Output]:
+        """Returns the outputs to carry out and clears them."""
+        for shard in self._closed_shards:
             self._owners.pop(shard, None)
-        self._closed.clear()
-        self._out += self._holder.keep
-        self._out += [Pruned(shard, tuple(keys)) for shard, keys in self._holder.pruned]
-        self._out += [Forget(shard) for shard in self._holder.gone]
-        self._holder.keep, self._holder.gone, self._holder.pruned = [], [], []
-        out, self._out = self._out, []
-        return out
+        self._closed_shards.clear()
+        self._outputs += self._holder.pending_writes
+        self._outputs += [Pruned(shard, tuple(keys)) for shard, keys in self._holder.pruned]
+        self._outputs += [Forget(shard) for shard in self._holder.closed_shards]
+        self._holder.pending_writes, self._holder.closed_shards, self._holder.pruned = [], [], []
+        outputs, self._outputs = self._outputs, []
+        return outputs
 
-    # --- for the door ---
+    # --- for the admin server ---
 
     @property
-    def copies(self) -> dict[ShardId, Copy]:
-        """What we keep for others."""
-        return self._holder.copies
+    def held_replicas(self) -> dict[ShardId, ShardReplica]:
+        """The replicas held for other members."""
+        return self._holder.held_replicas
 
     @property
-    def owners(self) -> dict[ShardId, Owner]:
-        """What we own."""
+    def owners(self) -> dict[ShardId, ShardOwner]:
+        """The shards that this member owns."""
         return self._owners
 
-    # --- owners ---
+    # --- owned shards ---
 
-    def _begin(self, epoch: int) -> None:
+    def _open_shard(self, epoch: int) -> None:
         shard = ShardId(self._me, self._boot_id, epoch)
-        copy = Copy(shard, Term(1, self._me, self._boot_id), complete=True)
+        replica = ShardReplica(shard, Term(1, self._me, self._boot_id), complete=True)
         others = holders(self._me, self._voters, self._faults)
-        self._own = self._owners[shard] = Owner(copy, others, self._faults)
-
-    def _follow(self, now: datetime, owner: Owner) -> None:
-        """What an owner wants, and what is to be done once all it took over is durable."""
-        self._out += owner.taken()
-        if owner.shard in self._finishing and owner.durable >= owner.copy.seq:
-            self._finish(owner.shard)
-        pruned = owner.copy.prune(owner.settled)
+        self._current_owner = self._owners[shard] = ShardOwner(replica, others, self._faults)
+
+    def _process_progress(self, now: datetime, owner: ShardOwner) -> None:
+        """Collects an owner's outputs, completes its takeover once everything taken over is durable,
+        prunes settled entries, and closes a taken-over shard that has become empty."""
+        self._outputs += owner.take_outputs()
+        if owner.shard in self._pending_takeovers and owner.durable >= owner.replica.seq:
+            self._complete_takeover(owner.shard)
+        pruned = owner.replica.prune(owner.settled)
         if pruned:
-            self._out.append(Pruned(owner.shard, tuple(pruned)))
-        if owner is not self._own and not len(owner.copy) and owner.shard not in self._finishing:
-            self._out += owner.close()
-            self._out.append(Forget(owner.shard))
-            self._closed.append(owner.shard)
-
-    def _fence(self, owner: Owner) -> None:
-        """A higher term is out for it: nothing is written to it from here any more."""
+            self._outputs.append(Pruned(owner.shard, tuple(pruned)))
+        if (
+            owner is not self._current_owner
+            and not len(owner.replica)
+            and owner.shard not in self._pending_takeovers
+        ):
+            self._outputs += owner.close()
+            self._outputs.append(Forget(owner.shard))
+            self._closed_shards.append(owner.shard)
+
+    def _fence(self, owner: ShardOwner) -> None:
+        """A higher term has been promised for this shard: this member stops writing to it."""
         COUNTERS.add("replicas.fenced")
         owner.fenced = True
-        entries = owner.copy.unfinished
-        theirs = tuple(entry for entry in entries if owner.offered(entry))
-        ours = tuple(entry for entry in entries if not owner.offered(entry))
+        entries = owner.replica.unfinished
+        sent = tuple(entry for entry in entries if owner.was_sent(entry))
+        unsent = tuple(entry for entry in entries if not owner.was_sent(entry))
         del self._owners[owner.shard]
-        self._finishing.pop(owner.shard, None)
-        if owner is self._own:
-            self._begin(owner.shard.epoch + 1)
-        self._out.append(Fenced(owner.shard, theirs, ours))
+        self._pending_takeovers.pop(owner.shard, None)
+        if owner is self._current_owner:
+            self._open_shard(owner.shard.epoch + 1)
+        self._outputs.append(Fenced(owner.shard, sent, unsent))
 
-    # --- others' shards ---
+    # --- held shards and failover ---
 
-    def _hold(self, sender: str, message: Append | Snapshot | Close) -> None:
+    def _update_held(self, sender: str, message: Append | Snapshot | Close) -> None:
         match message:
             case Append():
-                self._out += self._holder.append(sender, message)
+                self._outputs += self._holder.append(sender, message)
             case Snapshot():
-                self._out += self._holder.snapshot(sender, message)
+                self._outputs += self._holder.snapshot(sender, message)
             case Close():
-                self._out += self._holder.close(sender, message)
+                self._outputs += self._holder.close(sender, message)
 
-    def _prepare(self, sender: str, message: Prepare, owner: Owner | None) -> None:
+    def _handle_prepare(self, sender: str, message: Prepare, owner: ShardOwner | None) -> None:
         if owner is None:
-            self._out += self._holder.prepare(sender, message)
-        elif message.term <= owner.copy.term:
-            self._out.append(Send(sender, Old(message.shard, owner.copy.term)))
+            self._outputs += self._holder.prepare(sender, message)
+        elif message.term <= owner.replica.term:
+            self._outputs.append(Send(sender, StaleTerm(message.shard, owner.replica.term)))
         else:
-            # Others hold us for gone, and may be right about the way to us: what we have goes to who acts.
+            # Others see this member as dead, and may be right that it is unreachable: the new owner
+            # gets its entries.
             self._fence(owner)
             if owner.shard.owner != self._me:
-                self._holder.copies[owner.shard] = owner.copy
-            self._out += self._holder.prepare(sender, message)
-
-    def _won(self, now: datetime, won: Won) -> None:
-        shard = won.copy.shard
-        owner = self._owners[shard] = Owner(won.copy, won.holders, self._faults)
-        self._finishing[shard] = now
-        self._out.append(Kept(shard, won.copy.seq, list(won.copy)))
+                self._holder.held_replicas[owner.shard] = owner.replica
+            self._outputs += self._holder.prepare(sender, message)
+
+    def _become_owner(self, now: datetime, won: TermWon) -> None:
+        shard = won.replica.shard
+        owner = self._owners[shard] = ShardOwner(won.replica, won.holders, self._faults)
+        self._pending_takeovers[shard] = now
+        self._outputs.append(PendingWrite(shard, won.replica.seq, list(won.replica)))
         for name in sorted(self._connected):
             owner.connected(now, name)
-        self._follow(now, owner)
+        self._process_progress(now, owner)
 
-    def _finish(self, shard: ShardId) -> None:
-        del self._finishing[shard]
+    def _complete_takeover(self, shard: ShardId) -> None:
+        del self._pending_takeovers[shard]
         owner = self._owners[shard]
-        finished = tuple(entry.key for entry in owner.copy if entry.phase is Phase.OVER)
-        self._out.append(TakenOver(shard, tuple(owner.copy.unfinished), finished))
+        finished = tuple(entry.key for entry in owner.replica if entry.phase is Phase.COMPLETED)
+        self._outputs.append(TakenOver(shard, tuple(owner.replica.unfinished), finished))
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -13,7 +13,7 @@
 from datetime import datetime, timedelta
 
 from reedmount.core.clock import EPOCH
-from reedmount.replicas.holder import Kept
+from reedmount.replicas.holder import PendingWrite
 from reedmount.replicas.messages import Message, Phase, ShardId, Term, frame, unframe
 from reedmount.replicas.owner import Durable, Send
 from reedmount.replicas.replicas import Fenced, Replicas, TakenOver
@@ -121,7 +121,7 @@
             self._links[a, b] += 1
             replicas = self.members[a].replicas
             if replicas is not None:
-                replicas.lost(b)
+                replicas.disconnected(b)
 
     def _join(self, one: str, other: str) -> None:
         if one == other or self._apart(one, other):
@@ -171,11 +171,11 @@
         if replicas is None:
             return
         replicas.flush(self.now)
-        for output in replicas.taken():
+        for output in replicas.take_outputs():
             match output:
                 case Send(to, message):
                     self._send(name, to, message)
-                case Kept(shard, seq, _) if seq is not None:
+                case PendingWrite(shard, seq, _) if seq is not None:
                     self._write(name, shard, seq)
                 case Durable(shard, seq):
                     self._durable(name, shard, seq)
@@ -184,9 +184,11 @@
                 case Fenced():
                     self._fenced(name, output)
         for shard, owner in replicas.owners.items():
-            holder = self.terms.setdefault((shard, owner.copy.term), f"{name}/{self.members[name].boot_id}")
+            holder = self.terms.setdefault(
+                (shard, owner.replica.term), f"{name}/{self.members[name].boot_id}"
+            )
             if holder != f"{name}/{self.members[name].boot_id}":
-                self.problems.append(f"{shard} is owned by {name} and {holder} in term {owner.copy.term}")
+                self.problems.append(f"{shard} is owned by {name} and {holder} in term {owner.replica.term}")
 
     def _send(self, sender: str, to: str, message: Message) -> None:
         if self._apart(sender, to):
@@ -201,7 +203,7 @@
         def arrive() -> None:
             replicas = self.members[to].replicas
             if replicas is not None and self._links[sender, to] == link:
-                replicas.heard(self.now, sender, unframe(data))
+                replicas.receive(self.now, sender, unframe(data))
                 self._carry_out(to)
 
         self.after(at - self.now_s, arrive)
@@ -212,7 +214,7 @@
         def written() -> None:
             replicas = self.members[name].replicas
             if replicas is not None and self.members[name].boot_id == boot_id:
-                replicas.kept(self.now, shard, seq)
+                replicas.persisted(self.now, shard, seq)
                 self._carry_out(name)
 
         self.after(self.rng.uniform(*DISK_S), written)
@@ -225,8 +227,8 @@
             return
         call = Call(f"{name}/{boot_id}/{len(self.calls)}", name, boot_id)
         self.calls[call.key] = self._open[name][call.key] = call
-        self._step(call, Phase.TAKEN)
-        self.after(self.rng.uniform(0.02, 0.2), lambda: self._step(call, Phase.STANDS))
+        self._step(call, Phase.ACCEPTED)
+        self.after(self.rng.uniform(0.02, 0.2), lambda: self._step(call, Phase.ESTABLISHED))
         self.after(self.rng.expovariate(self.rate), lambda: self._place(name, boot_id))
 
     def _step(self, call: Call, phase: Phase) -> None:
@@ -241,7 +243,7 @@
         if not seq:
             return  # it was fenced: whoever has it now has this call as well
         call.seqs[phase] = (shard, seq)
-        if phase is Phase.OVER:
+        if phase is Phase.COMPLETED:
             call.over = True
         self._carry_out(call.owner)
 
@@ -249,11 +251,11 @@
         if shard.owner != name:
             return
         for call in list(self._open[name].values()):
-            stands, over = call.seqs.get(Phase.STANDS), call.seqs.get(Phase.OVER)
+            stands, over = call.seqs.get(Phase.ESTABLISHED), call.seqs.get(Phase.COMPLETED)
             if call.owner == name and stands and stands[0] == shard and stands[1] <= seq and not call.stands:
                 call.stands = True
                 hold = self.rng.uniform(0.1, 6.0)
-                self.after(hold, lambda call=call: self._step(call, Phase.OVER))  # type: ignore[misc]
+                self.after(hold, lambda call=call: self._step(call, Phase.COMPLETED))  # type: ignore[misc]
             if over and over[0] == shard and over[1] <= seq and not call.dropped and call.owner == name:
                 call.dropped = True
                 del self._open[name][call.key]
@@ -265,17 +267,20 @@
             call = self.calls[entry.key]
             call.released.append(name)
             if replicas is not None:
-                replicas.put(self.now, entry.key, Phase.OVER, b"released", taken.shard)
+                replicas.put(self.now, entry.key, Phase.COMPLETED, b"released", taken.shard)
         self.after(0.0, lambda: self._carry_out(name))
 
     def _fenced(self, name: str, fenced: Fenced) -> None:
         replicas = self.members[name].replicas
         if fenced.shard.owner != name or replicas is None:
             return
-        for entry in fenced.ours:
+        for entry in fenced.unsent:
             call = self.calls[entry.key]
-            call.seqs = {phase: where for phase, where in call.seqs.items() if phase is Phase.TAKEN}
-            call.seqs[Phase.TAKEN] = (replicas.shard, replicas.put(self.now, entry.key, Phase.TAKEN, b""))
+            call.seqs = {phase: where for phase, where in call.seqs.items() if phase is Phase.ACCEPTED}
+            call.seqs[Phase.ACCEPTED] = (
+                replicas.shard,
+                replicas.put(self.now, entry.key, Phase.ACCEPTED, b""),
+            )
 
     # --- what must hold ---
 
@@ -284,7 +289,7 @@
         found = []
         for call in self.calls.values():
             member = self.members[call.owner]
-            shard = call.seqs[Phase.STANDS][0] if Phase.STANDS in call.seqs else None
+            shard = call.seqs[Phase.ESTABLISHED][0] if Phase.ESTABLISHED in call.seqs else None
             there = member.replicas is not None and member.boot_id == call.boot_id
             kept = there and member.replicas is not None and shard in member.replicas.owners
             if call.stands and not call.over and not kept and not call.released:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,5 @@
-"""Copies in virtual time: what was promised is found again, and never has two writers in one term."""
+"""The replication state machines in virtual time: durable calls are recovered, and a term never has two
+writers."""
 
 from __future__ import annotations
 
@@ -20,8 +21,8 @@
     ShardId,
     Term,
     frame,
-    length_of,
-    parts,
+    frame_length,
+    split_entries,
     unframe,
 )  # fmt: skip
 from reedmount.replicas.placement import holders, set_size
@@ -30,67 +31,67 @@
 SHARD, TERM = ShardId("n0", 7), Term(1, "n0", 7)
 
 
-def entry(seq: int, size: int = 10, phase: Phase = Phase.STANDS) -> Entry:
+def entry(seq: int, size: int = 10, phase: Phase = Phase.ESTABLISHED) -> Entry:
     return Entry(seq, f"call-{seq}", phase, bytes(size), TERM)
 
 
-def test_placement_is_the_same_everywhere_even_and_moves_little() -> None:
-    roster = [f"n{number}" for number in range(40)]
-    sets = {name: holders(name, roster, 1) for name in roster}
+def test_placement_is_even_and_a_removed_voter_changes_only_its_own_sets() -> None:
+    voters = [f"n{number}" for number in range(40)]
+    sets = {name: holders(name, voters, 1) for name in voters}
     assert all(len(set(found)) == 2 and name not in found for name, found in sets.items())
     assert max(Counter(one for found in sets.values() for one in found).values()) <= 8
-    rest = [one for one in roster if one != "n7"]
-    fewer = {name: holders(name, rest, 1) for name in rest}
+    others = [one for one in voters if one != "n7"]
+    fewer = {name: holders(name, others, 1) for name in others}
     moved = [name for name, found in fewer.items() if found != sets[name]]
     assert all("n7" in sets[name] for name in moved) and len(moved) < 10
     assert set_size("a", ["a", "b"], 2) == 2
 
 
 @given(st.integers(0, 10**6), st.integers(0, 7))
-def test_a_message_is_read_as_it_was_written_or_refused(at: int, bit: int) -> None:
+def test_a_message_survives_encoding_and_a_flipped_bit_is_rejected(at: int, bit: int) -> None:
     message = Append(SHARD, TERM, 3, [entry(4), entry(5, 300)], 2)
     data = frame(message)
-    assert unframe(data) == message and length_of(data[: FRAME.size]) == len(data)
-    turned = bytearray(data)
-    turned[at % len(data)] ^= 1 << bit
+    assert unframe(data) == message and frame_length(data[: FRAME.size]) == len(data)
+    damaged = bytearray(data)
+    damaged[at % len(data)] ^= 1 << bit
     with pytest.raises(FrameError):
-        unframe(bytes(turned))
+        unframe(bytes(damaged))
     with pytest.raises(FrameError):
-        length_of(FRAME.pack(MAX_FRAME + 1, 0))
+        frame_length(FRAME.pack(MAX_FRAME + 1, 0))
 
 
-def test_entries_are_parted_so_that_each_message_fits() -> None:
+def test_entries_are_split_so_that_each_message_fits_in_a_frame() -> None:
     for size in (0, 100, MAX_DATA):
         entries = [entry(seq, size) for seq in range(1, 400)]
-        made = parts(entries)
-        assert [one for part in made for one in part] == entries
-        assert all(len(frame(Append(SHARD, TERM, 0, part))) < MAX_FRAME for part in made)
-    assert parts([]) == [[]]
+        batches = split_entries(entries)
+        assert [one for batch in batches for one in batch] == entries
+        assert all(len(frame(Append(SHARD, TERM, 0, batch))) < MAX_FRAME for batch in batches)
+    assert split_entries([]) == [[]]
 
 
-def test_calls_are_durable_at_once_and_nothing_is_left_of_those_that_are_over() -> None:
+def test_calls_become_durable_and_completed_calls_leave_no_entries() -> None:
     group = Group(5, 1)
     group.run(20)
     assert not group.problems
-    placed = [call for call in group.calls.values() if Phase.STANDS in call.seqs]
-    assert len(placed) > 400 and sum(call.stands for call in placed) >= len(placed) - 5
+    answered = [call for call in group.calls.values() if Phase.ESTABLISHED in call.seqs]
+    assert len(answered) > 400 and sum(call.stands for call in answered) >= len(answered) - 5
     group.rate = 0.0
     group.run(20)
-    left = [len(owner.copy) for member in group.members.values() if member.replicas
+    remaining = [len(owner.replica) for member in group.members.values() if member.replicas
             for owner in member.replicas.owners.values()]  # fmt: skip
-    assert sum(left) < 10, left
+    assert sum(remaining) < 10, remaining
     assert group.orphans() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_whoever_dies_with_its_disk_has_its_promised_calls_released(seed: int) -> None:
+def test_durable_calls_of_a_dead_member_are_released(seed: int) -> None:
     group = Group(5, seed)
     group.run(3)
     for _ in range(4):
         name = group.rng.choice(group.names)
         group.kill(name)
         group.run(7.5)
-        assert group.orphans() == [], "8 s after its death"
+        assert group.orphans() == [], "not released within 7.5 s of the death"
         group.start(name)
         group.run(2)
     assert not group.problems
@@ -98,7 +99,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_owner_that_was_cut_off_writes_no_more_to_what_another_has_taken(seed: int) -> None:
+def test_a_partitioned_owner_stops_writing_to_a_shard_taken_over_by_another(seed: int) -> None:
     group = Group(5, seed)
     group.run(3)
     name = group.rng.choice(group.names)
@@ -109,16 +110,19 @@
     assert not group.problems and group.orphans() == []
     member = group.members[name]
     assert member.replicas is not None and member.replicas.shard.epoch == 1
-    lasting = [call for call in group.calls.values() if len(call.released) > 1]
-    assert not lasting, "released twice"
+    released_twice = [call for call in group.calls.values() if len(call.released) > 1]
+    assert not released_twice, "calls released twice"
     group.run(5)
-    fresh = [call for call in group.calls.values() if call.owner == name and call.stands]
-    assert any(call.seqs[Phase.STANDS][0].epoch == 1 for call in fresh), "promises are made again"
+    current = [call for call in group.calls.values() if call.owner == name and call.stands]
+    assert any(call.seqs[Phase.ESTABLISHED][0].epoch == 1 for call in current), (
+        "no call became durable in the new epoch"
+    )
 
 
-class Storm(RuleBasedStateMachine):
-    """Kills, starts, cuts and time, in any order. Each shard has one writer a term, a copy's terms only rise,
-    and what is durable stays it; once all is whole, nothing is stuck and every copy is complete."""
+class ReplicationMachine(RuleBasedStateMachine):
+    """Kills, starts, partitions and waits in any order. Each shard has one writer per term, a replica's
+    terms only rise, and what is durable remains so; once all faults are repaired, no takeover is stuck
+    and every replica is complete."""
 
     @initialize(seed=st.integers(0, 10**6), faults=st.integers(1, 2))
     def begin(self, seed: int, faults: int) -> None:
@@ -136,9 +140,9 @@
         if self.group.members[name].replicas is None:
             self.group.start(name)
 
-    @rule(few=st.sets(st.integers(0, 6), min_size=1, max_size=3))
-    def cut(self, few: set[int]) -> None:
-        self.group.cut(*sorted({self.group.names[number % len(self.group.names)] for number in few}))
+    @rule(chosen=st.sets(st.integers(0, 6), min_size=1, max_size=3))
+    def cut(self, chosen: set[int]) -> None:
+        self.group.cut(*sorted({self.group.names[number % len(self.group.names)] for number in chosen}))
 
     @rule()
     def heal(self) -> None:
@@ -149,21 +153,24 @@
         self.group.run(seconds)
 
     @invariant()
-    def one_writer_a_term(self) -> None:
+    def one_writer_per_term(self) -> None:
         assert not getattr(self, "group", Group(0, 0)).problems
 
     @invariant()
-    def terms_and_what_is_durable_only_rise(self) -> None:
+    def terms_and_durable_steps_only_rise(self) -> None:
         for name, member in getattr(self, "group", Group(0, 0)).members.items():
             if member.replicas is None:
                 continue
-            for shard, copy in member.replicas.copies.items():
+            for shard, replica in member.replicas.held_replicas.items():
                 key = (name, member.boot_id, shard)
-                assert copy.promised >= self.terms.get(key, copy.promised) and copy.term <= copy.promised
-                self.terms[key] = copy.promised
+                assert (
+                    replica.promised >= self.terms.get(key, replica.promised)
+                    and replica.term <= replica.promised
+                )
+                self.terms[key] = replica.promised
             for shard, owner in member.replicas.owners.items():
                 key = (name, member.boot_id, shard)
-                assert self.durable.get(key, 0) <= owner.durable <= owner.copy.seq
+                assert self.durable.get(key, 0) <= owner.durable <= owner.replica.seq
                 self.durable[key] = owner.durable
 
     def teardown(self) -> None:
@@ -177,18 +184,21 @@
         group.run(12)
         for member in group.members.values():
             assert member.replicas is not None
-            assert not member.replicas._finishing and not member.replicas._succession._rounds
-            assert all(copy.complete for copy in member.replicas.copies.values())
+            assert not member.replicas._pending_takeovers and not member.replicas._failover._elections
+            assert all(replica.complete for replica in member.replicas.held_replicas.values())
         assert not group.problems
 
 
-TestStorm = Storm.TestCase
-TestStorm.settings = settings(max_examples=25, stateful_step_count=15, deadline=None, derandomize=True)
+TestReplicationMachine = ReplicationMachine.TestCase
+TestReplicationMachine.settings = settings(
+    max_examples=25, stateful_step_count=15, deadline=None, derandomize=True
+)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_whatever_fails_there_is_one_writer_a_term_and_none_stays_stuck(seed: int) -> None:
-    """Kills, restarts and cuts without measure: more than f at once lose promises, and break nothing else."""
+def test_random_faults_leave_one_writer_per_term_and_no_stuck_takeover(seed: int) -> None:
+    """Kills, restarts and partitions without limit: with more than f at once, durable calls may be lost,
+    but nothing else may break."""
     group = Group(7, seed, faults=1 + seed % 2)
     for _ in range(40):
         match group.rng.choice(["kill", "start", "cut", "heal", "none"]):
@@ -211,4 +221,4 @@
     assert not group.problems, group.problems[:3]
     for member in group.members.values():
         assert member.replicas is not None
-        assert not member.replicas._finishing and not member.replicas._succession._rounds
+        assert not member.replicas._pending_takeovers and not member.replicas._failover._elections
