--- a/reedmount/peers/mesh.py
+++ b/reedmount/peers/mesh.py
@@ -72,8 +72,8 @@
                     return
                 message = unframe(ring.peek(length))
                 ring.drop(length)
-            except FrameError as error:
-                COUNTERS.add(f"mesh.dropped.{error.reason}")
+            except FrameError as fault:
+                COUNTERS.add(f"mesh.dropped.{fault.reason}")
                 self.close()
                 return
             self._mesh.receive(self, message)
@@ -205,8 +205,8 @@
     def _dial(self, name: str, address: Address) -> None:
         created: list[MeshConnection] = []
 
-        def on_ended(_: Connection, reason: EndReason) -> None:
-            COUNTERS.add(f"mesh.{reason.name.lower()}")
+        def on_ended(_: Connection, end: EndReason) -> None:
+            COUNTERS.add(f"mesh.{end.name.lower()}")
             self.ended(created[0])
 
         connection = Connection.dial(
--- a/reedmount/replicas/failover.py
+++ b/reedmount/replicas/failover.py
@@ -20,11 +20,12 @@
 from reedmount.replicas.placement import holders
 from reedmount.replicas.shard_replica import ShardReplica
 
-FAILOVER_TIMEOUT = timedelta(seconds=2)  # per preceding holder, and for missing promises
+FAILOVER_TIMEOUT = timedelta(
+    seconds=2
+)  # per preceding holder, for missing promises and for durability after a takeover
 PREPARE_RETRY = timedelta(milliseconds=500)
-WRITER_QUIET_TIME = timedelta(
-    milliseconds=1500
-)  # a writer heard within this time is alive, even if the membership view lags
+# A writer heard from within this time is alive, even if the membership view lags.
+WRITER_QUIET_TIME = timedelta(milliseconds=1500)
 
 
 class MembershipView(Protocol):
@@ -70,7 +71,8 @@
         self._me, self._boot_id, self._voters = me, boot_id, frozenset(voters)
         self._faults, self._holder = faults, holder
         self._owner_lost_at: dict[ShardId, datetime] = {}  # when the owner was first seen dead
-        self._last_written_at: dict[ShardId, datetime] = {}  # last write while the owner was seen as dead
+        # Last message of a shard's writer while its owner is seen as dead.
+        self._writer_seen_at: dict[ShardId, datetime] = {}
         self._elections: dict[ShardId, Election] = {}
 
     def update(self, now: datetime, view: MembershipView) -> tuple[list[Send], list[TermWon]]:
@@ -80,16 +82,16 @@
         won: list[TermWon] = []
         for shard, replica in list(self._holder.held_replicas.items()):
             if self._has_live_writer(replica, view):
-                replica.written_recently = False
+                replica.writer_active = False
                 self._owner_lost_at.pop(shard, None)
-                self._last_written_at.pop(shard, None)
+                self._writer_seen_at.pop(shard, None)
                 self._elections.pop(shard, None)  # another member has a higher term than the one requested
                 continue
             since = self._owner_lost_at.setdefault(shard, now)
-            if replica.written_recently:
-                replica.written_recently, self._last_written_at[shard] = False, now
-            last_written = self._last_written_at.get(shard)
-            if not view.has_quorum or last_written is not None and now - last_written < WRITER_QUIET_TIME:
+            if replica.writer_active:
+                replica.writer_active, self._writer_seen_at[shard] = False, now
+            writer_seen = self._writer_seen_at.get(shard)
+            if not view.has_quorum or writer_seen is not None and now - writer_seen < WRITER_QUIET_TIME:
                 continue
             if shard in self._elections:
                 sends += self._resend_prepares(now, shard)
@@ -100,7 +102,7 @@
                 won.append(result)
         for shard in self._owner_lost_at.keys() - self._holder.held_replicas.keys():
             del self._owner_lost_at[shard]
-            self._last_written_at.pop(shard, None)
+            self._writer_seen_at.pop(shard, None)
             self._elections.pop(shard, None)
         return sends, won
 
@@ -127,8 +129,8 @@
 
     def _has_live_writer(self, replica: ShardReplica, view: MembershipView) -> bool:
         """Whether the highest known term is another member's that is alive and has not restarted since."""
-        writer = replica.promised.member
-        return writer != self._me and view.boot_id_of(writer) == replica.promised.boot_id
+        member = replica.promised.member
+        return member != self._me and view.boot_id_of(member) == replica.promised.boot_id
 
     def _live_holders_before(self, shard: ShardId, view: MembershipView) -> int:
         """How many live holders precede this member: each gets its time to take over first."""
@@ -171,7 +173,7 @@
             return None
         del self._elections[shard]
         self._owner_lost_at.pop(shard, None)
-        self._last_written_at.pop(shard, None)
+        self._writer_seen_at.pop(shard, None)
         if incomplete:
             COUNTERS.add("replicas.short")
         COUNTERS.add("replicas.taken_over")
--- a/reedmount/replicas/holder.py
+++ b/reedmount/replicas/holder.py
@@ -52,7 +52,7 @@
         replica, refusal = self._find_replica(sender, message.shard, message.term)
         if replica is None:
             return refusal
-        replica.written_recently = True
+        replica.writer_active = True
         in_sequence = replica.complete and replica.term == message.term
         if in_sequence and message.after <= replica.seq:
             new_entries = [entry for entry in message.entries if entry.seq > replica.seq]
@@ -72,7 +72,7 @@
         replica, refusal = self._find_replica(sender, message.shard, message.term)
         if replica is None:
             return refusal
-        replica.written_recently = True
+        replica.writer_active = True
         if not replica.add_page(message.page, message.term, message.end_seq, message.entries):
             return [self._ack(sender, replica, False)]
         if not message.last:
--- a/reedmount/replicas/shard_replica.py
+++ b/reedmount/replicas/shard_replica.py
@@ -47,7 +47,7 @@
     def __init__(self, shard: ShardId, term: Term, complete: bool) -> None:
         self.shard, self.term, self.promised, self.complete = shard, term, term, complete
         self.seq = self.persisted = 0
-        self.written_recently = False  # whether its writer was heard since the last check
+        self.writer_active = False  # whether its writer has sent anything since the last check
         self._table = EntryTable()
         self._incoming = EntryTable()  # the snapshot in progress
         self._pages_received = 0
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -47,7 +47,7 @@
         self.replicated_again.append(entry.key)
 
 
-class Cluster:
+class Fleet:
     """Three members, each with a folder for its disk."""
 
     def __init__(self, folder: Path) -> None:
@@ -124,8 +124,8 @@
 
 
 @pytest.fixture
-def cluster(tmp_path: Path) -> Iterator[Cluster]:
-    created = Cluster(tmp_path)
+def fleet(tmp_path: Path) -> Iterator[Fleet]:
+    created = Fleet(tmp_path)
     yield created
     for name in list(created.replications):
         created.kill(name)
@@ -133,83 +133,83 @@
 
 
 def test_a_call_is_durable_once_replicated_and_released_by_one_member_when_its_owner_dies(
-    cluster: Cluster,
+    fleet: Fleet,
 ) -> None:
-    results = [cluster.hold("n1", f"c{number}", Phase.ESTABLISHED) for number in range(20)]
-    assert cluster.until(lambda: all(results), S) and all(found == [True] for found in results)
-    completed = cluster.hold("n1", "c0", Phase.COMPLETED)
-    assert cluster.until(lambda: completed == [True], S)
-    before = cluster.world.seconds
-    cluster.kill("n1")
-    others = [cluster.calls["n2"], cluster.calls["n3"]]
-    assert cluster.until(lambda: sum(len(calls.released) for calls in others) == 19, 8 * S)
-    assert cluster.world.seconds - before < 8
-    cluster.run(4 * S)
+    results = [fleet.hold("n1", f"c{number}", Phase.ESTABLISHED) for number in range(20)]
+    assert fleet.until(lambda: all(results), S) and all(found == [True] for found in results)
+    completed = fleet.hold("n1", "c0", Phase.COMPLETED)
+    assert fleet.until(lambda: completed == [True], S)
+    before = fleet.world.seconds
+    fleet.kill("n1")
+    others = [fleet.calls["n2"], fleet.calls["n3"]]
+    assert fleet.until(lambda: sum(len(calls.released) for calls in others) == 19, 8 * S)
+    assert fleet.world.seconds - before < 8
+    fleet.run(4 * S)
     found = sorted(others[0].released + others[1].released)
     assert found == sorted(f"c{number}" for number in range(1, 20)), "a call was not released, or twice"
     assert others[0].inherited + others[1].inherited == ["c0"], "the completed record was not inherited"
-    cluster.start("n1")
-    cluster.run(8 * S)
-    assert not cluster.calls["n1"].released
+    fleet.start("n1")
+    fleet.run(8 * S)
+    assert not fleet.calls["n1"].released
     assert all(
         replica.complete
-        for replication in cluster.replications.values()
+        for replication in fleet.replications.values()
         for replica in replication.replicas.held_replicas.values()
     )
 
 
-def test_without_another_member_no_call_is_durable_and_the_wait_times_out(cluster: Cluster) -> None:
-    cluster.kill("n2")
-    cluster.kill("n3")
-    started_at, before = cluster.world.seconds, COUNTERS["replicas.unpromised"]
-    results = cluster.hold("n1", "c", Phase.ESTABLISHED)
-    assert cluster.until(lambda: bool(results), S) and results == [False]
-    assert cluster.world.seconds - started_at < 0.2 and COUNTERS["replicas.unpromised"] == before + 1
-    cluster.start("n2")
-    assert cluster.until(lambda: cluster.replications["n1"].replicas.durable == 1, 8 * S), (
+def test_without_another_member_no_call_is_durable_and_the_wait_times_out(fleet: Fleet) -> None:
+    fleet.kill("n2")
+    fleet.kill("n3")
+    started_at, before = fleet.world.seconds, COUNTERS["replicas.unpromised"]
+    results = fleet.hold("n1", "c", Phase.ESTABLISHED)
+    assert fleet.until(lambda: bool(results), S) and results == [False]
+    assert fleet.world.seconds - started_at < 0.2 and COUNTERS["replicas.unpromised"] == before + 1
+    fleet.start("n2")
+    assert fleet.until(lambda: fleet.replications["n1"].replicas.durable == 1, 8 * S), (
         "not durable after a member came back"
     )
 
 
-def test_the_local_replica_does_not_count_while_its_disk_fails(cluster: Cluster) -> None:
+def test_the_local_replica_does_not_count_while_its_disk_fails(fleet: Fleet) -> None:
     """A step is then durable only once both other members have it."""
-    cluster.disks["n1"].faults = Faults(full_after=1)
-    first = cluster.hold("n1", "c1", Phase.ESTABLISHED)
-    assert cluster.until(lambda: bool(first), S) and first == [True]
-    assert cluster.until(lambda: cluster.replications["n1"].view()["disk"] == "failing", S)
-    cluster.kill("n3")
-    cluster.run(S)
-    second = cluster.hold("n1", "c2", Phase.ESTABLISHED)
-    assert cluster.until(lambda: bool(second), S) and second == [False]
-    cluster.disks["n1"].faults = Faults()
-    assert cluster.until(lambda: cluster.replications["n1"].replicas.durable == 2, 12 * S), (
+    fleet.disks["n1"].faults = Faults(full_after=1)
+    first = fleet.hold("n1", "c1", Phase.ESTABLISHED)
+    assert fleet.until(lambda: bool(first), S) and first == [True]
+    assert fleet.until(lambda: fleet.replications["n1"].view()["disk"] == "failing", S)
+    fleet.kill("n3")
+    fleet.run(S)
+    second = fleet.hold("n1", "c2", Phase.ESTABLISHED)
+    assert fleet.until(lambda: bool(second), S) and second == [False]
+    fleet.disks["n1"].faults = Faults()
+    assert fleet.until(lambda: fleet.replications["n1"].replicas.durable == 2, 12 * S), (
         "the disk was not retried (every 5 s)"
     )
 
 
-def test_calls_on_disk_are_released_after_all_members_die_at_once(cluster: Cluster) -> None:
-    results = [cluster.hold("n1", f"c{number}", Phase.ESTABLISHED) for number in range(5)]
-    assert cluster.until(lambda: all(results), S)
-    for name in list(cluster.replications):
-        cluster.kill(name)
-    cluster.start("n2")
-    cluster.start("n3", Faults(turned_bits=1))
-    others = [cluster.calls["n2"], cluster.calls["n3"]]
-    assert cluster.until(lambda: sum(len(calls.released) for calls in others) >= 5, 20 * S)
+def test_calls_on_disk_are_released_after_all_members_die_at_once(fleet: Fleet) -> None:
+    results = [fleet.hold("n1", f"c{number}", Phase.ESTABLISHED) for number in range(5)]
+    assert fleet.until(lambda: all(results), S)
+    for name in list(fleet.replications):
+        fleet.kill(name)
+    fleet.start("n2")
+    fleet.start("n3", Faults(turned_bits=1))
+    others = [fleet.calls["n2"], fleet.calls["n3"]]
+    assert fleet.until(lambda: sum(len(calls.released) for calls in others) >= 5, 20 * S)
     assert {key for calls in others for key in calls.released} == {f"c{n}" for n in range(5)}
 
 
 def test_waiting_calls_of_a_fenced_shard_fail_and_do_not_block_later_ones(
-    cluster: Cluster,
+    fleet: Fleet,
 ) -> None:
-    replication = cluster.replications["n1"]
+    replication = fleet.replications["n1"]
     results_of_old: list[bool] = []
     replication.hold("old", Phase.ESTABLISHED, b"", results_of_old.append)
     replication.replicas.receive(
-        cluster.world.now, "n2", StaleTerm(replication.replicas.shard, Term(2, "n2", 1))
+        fleet.world.now, "n2", StaleTerm(replication.replicas.shard, Term(2, "n2", 1))
     )
     replication._carry_out()
     assert results_of_old == [False] and replication.replicas.shard.epoch == 1
-    assert cluster.calls["n1"].released_by_others + cluster.calls["n1"].replicated_again == ["old"]
-    results = cluster.hold("n1", "new", Phase.ESTABLISHED)
-    assert cluster.until(lambda: bool(results), S) and results == [True]
+    assert fleet.calls["n1"].released_by_others + fleet.calls["n1"].replicated_again == ["old"]
+    results = fleet.hold("n1", "new", Phase.ESTABLISHED)
+    assert fleet.until(lambda: bool(results), S) and results == [True]
