--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -181,7 +181,7 @@
             few = [f"n{number}" for number in range(count * 3 // 8)]
             at = group.now_s
             group.cut(few, [name for name in group.nodes if name not in few])
-            while {item.has_quorum for item in group.standings(few)} != {False} and group.now_s < at + 20:
+            while {item.has_quorum for item in group.quorum_states(few)} != {False} and group.now_s < at + 20:
                 group.run(0.1)
             knew.append(group.now_s - at)
             group.run(20 - knew[-1])
--- a/reedmount/members/capacity_sharing.py
+++ b/reedmount/members/capacity_sharing.py
@@ -19,13 +19,13 @@
 MIN_SHARE = 0.8
 
 
-def sharing_instances(configured: int, alive: int, sure: bool) -> int:
+def sharing_instances(configured: int, alive: int, has_quorum: bool) -> int:
     """How many to share with, ourselves included; at least 1.
 
     ``alive``: members that are alive in our view, guests and ourselves included. More than are configured
     count at once, sure or not: that only makes our part smaller.
     """
-    most = max(1, configured, alive)
-    if alive >= configured or not sure:
-        return most
+    upper = max(1, configured, alive)
+    if alive >= configured or not has_quorum:
+        return upper
     return max(1, alive, math.ceil(MIN_SHARE * configured))
--- a/reedmount/members/damping.py
+++ b/reedmount/members/damping.py
@@ -6,60 +6,60 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-DEATH = 1000.0  # what a death that was none, or a restart, costs
-SUPPRESS = 3000.0  # over this a member is damped
-REUSE = 1000.0  # under this it is not any more
-CEILING = 6000.0  # so that the longest damping is bounded: log2(6) half-lives
-NOTHING = 50.0
+DEATH_PENALTY = 1000.0  # what a death that was none, or a restart, costs
+SUPPRESS_THRESHOLD = 3000.0  # over this a member is damped
+REUSE_THRESHOLD = 1000.0  # under this it is not any more
+MAX_PENALTY = 6000.0  # so that the longest damping is bounded: log2(6) half-lives
+FORGET_THRESHOLD = 50.0
 HALF_LIFE = timedelta(seconds=30)
 
 
 @dataclass(slots=True)
-class _Mark:
+class _Penalty:
     penalty: float
-    at: datetime
+    updated_at: datetime
     damped: bool = False
 
-    def faded(self, now: datetime) -> float:
-        return self.penalty * math.exp2(-((now - self.at) / HALF_LIFE))
+    def decayed(self, now: datetime) -> float:
+        return self.penalty * math.exp2(-((now - self.updated_at) / HALF_LIFE))
 
 
 class Damping:
     """The penalties. A name is kept while its penalty counts for something: ``sweep`` empties it."""
 
     def __init__(self) -> None:
-        self._marks: dict[str, _Mark] = {}
+        self._penalties: dict[str, _Penalty] = {}
 
     def __len__(self) -> int:
         """How many have a penalty."""
-        return len(self._marks)
+        return len(self._penalties)
 
     @property
     def names(self) -> list[str]:
         """Who is damped now."""
-        return sorted(name for name, mark in self._marks.items() if mark.damped)
+        return sorted(name for name, entry in self._penalties.items() if entry.damped)
 
-    def came_back(self, now: datetime, name: str) -> bool:
+    def penalize(self, now: datetime, name: str) -> bool:
         """One that was called dead is alive; whether that makes it a damped one."""
-        mark = self._marks.setdefault(name, _Mark(0.0, now))
-        mark.penalty, mark.at = min(CEILING, mark.faded(now) + DEATH), now
-        fresh = mark.penalty > SUPPRESS and not mark.damped
-        mark.damped = mark.damped or fresh
-        return fresh
+        entry = self._penalties.setdefault(name, _Penalty(0.0, now))
+        entry.penalty, entry.updated_at = min(MAX_PENALTY, entry.decayed(now) + DEATH_PENALTY), now
+        newly_damped = entry.penalty > SUPPRESS_THRESHOLD and not entry.damped
+        entry.damped = entry.damped or newly_damped
+        return newly_damped
 
-    def damped(self, name: str) -> bool:
+    def is_damped(self, name: str) -> bool:
         """Whether its word that it is well does not count now, as of the latest sweep."""
-        mark = self._marks.get(name)
-        return mark is not None and mark.damped
+        entry = self._penalties.get(name)
+        return entry is not None and entry.damped
 
     def sweep(self, now: datetime) -> list[str]:
         """Let penalties fade; who is damped no more."""
         released = []
-        for name, mark in list(self._marks.items()):
-            penalty = mark.faded(now)
-            if mark.damped and penalty < REUSE:
-                mark.damped = False
+        for name, entry in list(self._penalties.items()):
+            penalty = entry.decayed(now)
+            if entry.damped and penalty < REUSE_THRESHOLD:
+                entry.damped = False
                 released.append(name)
-            if penalty < NOTHING:
-                del self._marks[name]
+            if penalty < FORGET_THRESHOLD:
+                del self._penalties[name]
         return released
--- a/reedmount/members/health.py
+++ b/reedmount/members/health.py
@@ -4,7 +4,7 @@
 
 from datetime import timedelta
 
-WORST = 8
+MAX_SCORE = 8
 
 
 class LocalHealth:
@@ -13,11 +13,11 @@
     def __init__(self) -> None:
         self.score = 0
 
-    def worse(self, by: int = 1) -> None:
+    def degrade(self, amount: int = 1) -> None:
         """A probe failed, a relay said nothing, or we had to refute our own death."""
-        self.score = min(WORST, self.score + by)
+        self.score = min(MAX_SCORE, self.score + amount)
 
-    def better(self) -> None:
+    def improve(self) -> None:
         """A probe was answered in time."""
         self.score = max(0, self.score - 1)
 
--- a/reedmount/members/observation_gossip.py
+++ b/reedmount/members/observation_gossip.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from reedmount.members.dissemination import Spread
-from reedmount.members.knowledge import Fact, Heard, Knowledge
+from reedmount.members.dissemination import DisseminationQueue
+from reedmount.members.knowledge import Knowledge, Observation, StoredObservation
 
-ROOM = 8  # facts that could have room in a datagram
+MAX_PER_DATAGRAM = 8  # facts that could have room in a datagram
 
 
 @dataclass(frozen=True, slots=True)
-class Rumour:
+class ObservationKey:
     """Of which server, and who saw it; the fact itself is taken from what is known when it is told."""
 
     server: str
@@ -25,59 +25,61 @@
         return f"{self.server} {self.by}"
 
 
-class Rumours:
+class ObservationGossip:
     """The owner of what members know of call servers. Only changes are told: that a server drains, is gone,
     came back or has started; each by who saw it itself, to everybody, once."""
 
     def __init__(self, me: str, times: int) -> None:
         self.knowledge = Knowledge(me)
-        self._spread: Spread[Rumour] = Spread(times)
+        self._dissemination: DisseminationQueue[ObservationKey] = DisseminationQueue(times)
 
     def __len__(self) -> int:
         """How many are still to be passed on."""
-        return len(self._spread)
+        return len(self._dissemination)
 
-    def saw(self, now: datetime, fact: Fact) -> None:
+    def observe(self, now: datetime, observation: Observation) -> None:
         """We saw this ourselves, just now."""
-        self.knowledge.saw(now, fact)
-        self._spread.put(Rumour(fact.server, fact.by))
+        self.knowledge.observe(now, observation)
+        self._dissemination.put(ObservationKey(observation.server, observation.by))
 
-    def told(self, now: datetime, facts: Iterable[Fact], pass_on: bool = True) -> tuple[Fact, ...]:
+    def receive(
+        self, now: datetime, observations: Iterable[Observation], pass_on: bool = True
+    ) -> tuple[Observation, ...]:
         """Others say so; what of it was news."""
-        news = tuple(fact for fact in facts if self.knowledge.take(now, fact))
+        fresh = tuple(observation for observation in observations if self.knowledge.merge(now, observation))
         if pass_on:
-            for fact in news:
-                self._spread.put(Rumour(fact.server, fact.by))
-        return news
+            for observation in fresh:
+                self._dissemination.put(ObservationKey(observation.server, observation.by))
+        return fresh
 
-    def next_facts(self, now: datetime) -> tuple[list[Rumour], list[Fact]]:
+    def next_observations(self, now: datetime) -> tuple[list[ObservationKey], list[Observation]]:
         """What goes next, as far as it could have room; what was forgotten meanwhile is told no more."""
-        rumours: list[Rumour] = []
-        facts: list[Fact] = []
-        lost = []
-        for rumour in self._spread.waiting():
-            heard = self._known(rumour)
-            if heard is None:
-                lost.append(rumour)
+        keys: list[ObservationKey] = []
+        observations: list[Observation] = []
+        expired = []
+        for key in self._dissemination.pending():
+            stored = self._lookup(key)
+            if stored is None:
+                expired.append(key)
                 continue
-            rumours.append(rumour)
-            facts.append(heard.aged(now))
-            if len(facts) == ROOM:
+            keys.append(key)
+            observations.append(stored.aged(now))
+            if len(observations) == MAX_PER_DATAGRAM:
                 break
-        for rumour in lost:
-            self._spread.drop(rumour.name)
-        return rumours, facts
+        for key in expired:
+            self._dissemination.drop(key.name)
+        return keys, observations
 
-    def sent(self, rumours: list[Rumour], members: int) -> None:
+    def sent(self, keys: list[ObservationKey], members: int) -> None:
         """These have gone out once more."""
-        self._spread.sent(rumours, members)
+        self._dissemination.sent(keys, members)
 
-    def all_facts(self, now: datetime) -> list[Fact]:
+    def all_observations(self, now: datetime) -> list[Observation]:
         """All that is known and not too old, for a newcomer; the freshest first."""
         self.knowledge.forget(now)
-        found = [heard for _, kept in self.knowledge for heard in kept]
-        found.sort(key=lambda heard: heard.observed, reverse=True)
-        return [heard.aged(now) for heard in found]
+        found = [stored for _, by_observer in self.knowledge for stored in by_observer]
+        found.sort(key=lambda stored: stored.observed_at, reverse=True)
+        return [stored.aged(now) for stored in found]
 
-    def _known(self, rumour: Rumour) -> Heard | None:
-        return self.knowledge.get(rumour.server, rumour.by)
+    def _lookup(self, key: ObservationKey) -> StoredObservation | None:
+        return self.knowledge.get(key.server, key.by)
--- a/reedmount/members/outbox.py
+++ b/reedmount/members/outbox.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass
 
 from reedmount.core.checks import COUNTERS
-from reedmount.members.dissemination import Spread
-from reedmount.members.knowledge import Fact
-from reedmount.members.quorum import Standing
+from reedmount.members.dissemination import DisseminationQueue
+from reedmount.members.knowledge import Observation
+from reedmount.members.quorum import QuorumState
 from reedmount.members.record import Record, State
 from reedmount.members.view import Change, View
-from reedmount.members.wire import Kind, Message, write, write_facts
+from reedmount.members.wire import Kind, Message, write, write_observations
 from reedmount.net.connection import Address
 
-MAX_NEWS = 12  # records that could have room in a datagram
-PAGES = 3  # datagrams of records in one answer
+MAX_UPDATES = 12  # records that could have room in a datagram
+MAX_PAGES = 3  # datagrams of records in one answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,36 +27,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class QuorumChanged:
     """Our standing is another one."""
 
-    old: Standing
-    new: Standing
+    old: QuorumState
+    new: QuorumState
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ObservationsReceived:
     """Others have seen this of call servers, which is news to us."""
 
-    facts: tuple[Fact, ...]
+    observations: tuple[Observation, ...]
 
 
-Output = Send | Change | Stood | Told
+Output = Send | Change | QuorumChanged | ObservationsReceived
 
 
 class Outbox:
     """Datagrams and news for the owner, in order; it knows what we say of ourselves."""
 
-    def __init__(self, group: int, me: Record, view: View, spread: Spread[Record]) -> None:
+    def __init__(self, group: int, me: Record, view: View, spread: DisseminationQueue[Record]) -> None:
         self.me = me
-        self._group, self._view, self._spread = group, view, spread
+        self._group, self._view, self._dissemination = group, view, spread
         self._out: list[Output] = []
 
     def add(self, output: Output) -> None:
         """Tell the owner this."""
         self._out.append(output)
 
-    def taken(self) -> list[Output]:
+    def collect(self) -> list[Output]:
         """All that there is, once."""
         out, self._out = self._out, []
         return out
@@ -71,7 +71,7 @@
         first: tuple[Record, ...] = (),
     ) -> None:
         """A datagram to a member: what it has to know of itself first, then what is asked for, then news."""
-        self.send_to(kind, to.address, seq, target, buckets, (*self._told(to), *first))
+        self.send_to(kind, to.address, seq, target, buckets, (*self._refutable_claim(to), *first))
 
     def send_to(
         self,
@@ -83,24 +83,24 @@
         first: tuple[Record, ...] = (),
     ) -> None:
         """A datagram to an address of which no more is known."""
-        news = [*first, *self._news(first)]
-        data, sent = write(self._group, self._message(kind, seq, target, buckets), news)
-        self._spread.sent(news[len(first) : sent], len(self._view.there) + 1)
+        updates = [*first, *self._pending_updates(first)]
+        data, sent = write(self._group, self._message(kind, seq, target, buckets), updates)
+        self._dissemination.sent(updates[len(first) : sent], len(self._view.present) + 1)
         self._post(to, data)
 
     def send_pages(self, to: Record, records: list[Record]) -> None:
         """As many of these records as a few datagrams hold."""
-        told = self._told(to)
-        for _ in range(PAGES):
-            if not records and not told:
+        claim = self._refutable_claim(to)
+        for _ in range(MAX_PAGES):
+            if not records and not claim:
                 return
-            data, sent = write(self._group, self._message(Kind.STATE), [*told, *records])
+            data, sent = write(self._group, self._message(Kind.STATE), [*claim, *records])
             self._post(to.address, data)
-            records, told = records[max(0, sent - len(told)) :], ()
+            records, claim = records[max(0, sent - len(claim)) :], ()
 
-    def send_facts(self, to: Record, facts: list[Fact]) -> int:
+    def send_observations(self, to: Record, observations: list[Observation]) -> int:
         """A datagram of what was seen of call servers; how many had room."""
-        data, sent = write_facts(self._group, self._message(Kind.FACTS), facts)
+        data, sent = write_observations(self._group, self._message(Kind.OBSERVATIONS), observations)
         self._post(to.address, data)
         return sent
 
@@ -112,19 +112,19 @@
     def _message(self, kind: Kind, seq: int = 0, target: str = "", buckets: bytes = b"") -> Message:
         return Message(kind, seq, self.me, self._view.digest.to_bytes(8, "big"), target, buckets)
 
-    def _told(self, to: Record) -> tuple[Record, ...]:
+    def _refutable_claim(self, to: Record) -> tuple[Record, ...]:
         """The buddy system: who is suspected, or outdone by what we hold, is the one who can refute it."""
         known = self._view.get(to.name)
         if known is not None and (known.state is not State.ALIVE or known.rank > to.rank):
             return (known,)
         return ()
 
-    def _news(self, but: tuple[Record, ...]) -> Iterable[Record]:
-        names = {record.name for record in but}
-        news = []
-        for record in self._spread.waiting():
+    def _pending_updates(self, exclude: tuple[Record, ...]) -> Iterable[Record]:
+        names = {record.name for record in exclude}
+        updates = []
+        for record in self._dissemination.pending():
             if record.name not in names:
-                news.append(record)
-            if len(news) == MAX_NEWS:
+                updates.append(record)
+            if len(updates) == MAX_UPDATES:
                 break
-        return news
+        return updates
--- a/reedmount/members/prober.py
+++ b/reedmount/members/prober.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from reedmount.members.timer_queue import Due
+from reedmount.members.timer_queue import ScheduledTask
 from reedmount.members.view import View
 
 MAX_RELAYED = 256  # probes that we carry out for others at once; more are not begun
@@ -18,22 +18,22 @@
     seq: int
     name: str
     incarnation: int
-    of_the_dead: bool
-    asked: set[str] = field(default_factory=set)  # relays whose word is still out
+    target_dead: bool
+    awaited_nacks: set[str] = field(default_factory=set)  # relays whose word is still out
     relays: list[str] = field(default_factory=list)  # that were asked
-    dues: list[Due] = field(default_factory=list)
+    timers: list[ScheduledTask] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
     """A probe for another member."""
 
-    asker: str
+    requester: str
     seq: int  # the asker's
-    due: Due
+    timer: ScheduledTask
 
 
-class Round:
+class ProbeRound:
     """Each member that is there once in a round, in random order; newcomers at a random place of this one.
 
     So each is probed at least once in two rounds, whatever the draw: SWIM's bound of the detection time.
@@ -41,23 +41,23 @@
 
     def __init__(self, view: View, rng: random.Random) -> None:
         self._view, self._rng = view, rng
-        self._left: list[str] = []  # of this round, the next one last
+        self._remaining: list[str] = []  # of this round, the next one last
 
-    def joined(self, name: str) -> None:
+    def add(self, name: str) -> None:
         """One more. Where they come faster than they are probed, the round begins anew: it stays bounded."""
-        if len(self._left) > 2 * len(self._view.there):
-            self._left = list(self._view.there)
-            self._rng.shuffle(self._left)
+        if len(self._remaining) > 2 * len(self._view.present):
+            self._remaining = list(self._view.present)
+            self._rng.shuffle(self._remaining)
             return
-        self._left.insert(self._rng.randrange(len(self._left) + 1), name)
+        self._remaining.insert(self._rng.randrange(len(self._remaining) + 1), name)
 
     def next(self) -> str | None:
         """Whom to probe now; None where nobody else is there."""
         for _ in range(2):
-            while self._left:
-                name = self._left.pop()
-                if name in self._view.there:
+            while self._remaining:
+                name = self._remaining.pop()
+                if name in self._view.present:
                     return name
-            self._left = list(self._view.there)
-            self._rng.shuffle(self._left)
+            self._remaining = list(self._view.present)
+            self._rng.shuffle(self._remaining)
         return None
--- a/reedmount/members/quorum.py
+++ b/reedmount/members/quorum.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from reedmount.members.record import WORD, Record, State
+from reedmount.members.record import UINT32_MAX, Record, State
 
 
-class Standing(Enum):
+class QuorumState(Enum):
     """What a member may do while others are missing; calls are served in all of them."""
 
     JOINING = "joining"  # has not heard enough others since its own start
@@ -21,7 +21,7 @@
     @property
     def has_quorum(self) -> bool:
         """Whether it is worth asking for what must be unique; a term or lease has to fence it besides."""
-        return self is Standing.MAJORITY
+        return self is QuorumState.MAJORITY
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     def id(self) -> int:
         """What members say to tell that they go by this one; 0 is none."""
         text = f"{self.version}:" + ",".join(sorted(self.names))
-        return (zlib.crc32(text.encode()) & WORD) or 1
+        return (zlib.crc32(text.encode()) & UINT32_MAX) or 1
 
     @property
     def majority(self) -> int:
@@ -52,14 +52,14 @@
     damped: int = 0  # of those alive
 
 
-class Count:
+class QuorumTracker:
     """The tallies of all rosters that matter now."""
 
     def __init__(self, me: str, voter_sets: tuple[VoterSet, ...]) -> None:
         self._me = me
         self._tallies = [_Tally(voters) for voters in voter_sets]
         self._known = {voters.id for voters in voter_sets}
-        self._goes_by: Counter[int] = Counter()  # roster ids of members that are there
+        self._announced: Counter[int] = Counter()  # roster ids of members that are there
         self._damped: set[str] = set()
 
     @property
@@ -67,13 +67,13 @@
         """The roster that we go by."""
         return self._tallies[0].voters
 
-    def changed(self, name: str, old: Record | None, new: Record | None) -> None:
+    def member_changed(self, name: str, old: Record | None, new: Record | None) -> None:
         """What is known of a member is other now; None: it is not in the table."""
         if any(name in tally.voters.names for tally in self._tallies):
             # What guests go by says nothing: one of them could keep all the others from deciding.
             for record, by in ((old, -1), (new, 1)):
-                if record is not None and record.there and record.voters_id:
-                    self._goes_by[record.voters_id] += by
+                if record is not None and record.present and record.voters_id:
+                    self._announced[record.voters_id] += by
         self._tally(name, None if old is None else old.state, None if new is None else new.state)
 
     def _tally(self, name: str, old: State | None, new: State | None) -> None:
@@ -87,7 +87,7 @@
             if name in self._damped:
                 tally.damped += (new is State.ALIVE) - (old is State.ALIVE)
 
-    def damp(self, name: str, damped: bool, state: State | None) -> None:
+    def set_damped(self, name: str, damped: bool, state: State | None) -> None:
         """A member begins or ceases to be damped."""
         if damped == (name in self._damped):
             return
@@ -96,22 +96,22 @@
             if name in tally.voters.names and state is State.ALIVE:
                 tally.damped += 1 if damped else -1
 
-    def standing(self, joined: bool, in_touch: bool = True) -> Standing:
+    def quorum_state(self, joined: bool, has_contact: bool = True) -> QuorumState:
         """As of now: the worst that a roster in use says; out of touch, no better than unsure."""
         if not joined:
-            return Standing.JOINING
-        in_use = {roster for roster, members in self._goes_by.items() if members > 0}
-        worst = Standing.MAJORITY if in_touch and in_use <= self._known else Standing.UNSURE
-        for place, tally in enumerate(self._tallies):
-            if place and tally.voters.id not in in_use:
+            return QuorumState.JOINING
+        in_use = {voters_id for voters_id, members in self._announced.items() if members > 0}
+        state = QuorumState.MAJORITY if has_contact and in_use <= self._known else QuorumState.UNSURE
+        for index, tally in enumerate(self._tallies):
+            if index and tally.voters.id not in in_use:
                 continue  # nobody goes by that one any more
             own = self._me in tally.voters.names
             alive = own + tally.states[State.ALIVE]
             # Where we hear few ourselves, those that we suspect besides are taken for gone: nobody else may
             # be left to share the suspicion, which then takes its longest.
-            at_most = alive + (tally.states[State.SUSPECT] if in_touch else 0)
-            if at_most < tally.voters.majority:
-                return Standing.MINORITY
+            possible = alive + (tally.states[State.SUSPECT] if has_contact else 0)
+            if possible < tally.voters.majority:
+                return QuorumState.MINORITY
             if alive - tally.damped < tally.voters.majority:
-                worst = Standing.UNSURE
-        return worst
+                state = QuorumState.UNSURE
+        return state
--- a/reedmount/members/record.py
+++ b/reedmount/members/record.py
@@ -15,10 +15,10 @@
 
 MAX_NAME = 24  # bytes of a member's name
 MAX_ZONE = 12
-WORD = 2**32 - 1  # incarnations, lives, rosters and builds are words of 32 bits
+UINT32_MAX = 2**32 - 1  # incarnations, lives, rosters and builds are words of 32 bits
 BUCKETS = 32  # by name, in the digest of a table
 
-Word = Annotated[int, Meta(ge=0, le=WORD)]
+Word = Annotated[int, Meta(ge=0, le=UINT32_MAX)]
 
 
 class State(IntEnum):
@@ -58,7 +58,7 @@
         )  # fmt: skip
 
     @property
-    def there(self) -> bool:
+    def present(self) -> bool:
         """Whether it is taken for running: it is probed, and counts as seen."""
         return self.state <= State.SUSPECT
 
@@ -68,7 +68,7 @@
 
         What is gone counts as nothing, lest one table that has forgotten it and one that has not differ.
         """
-        if not self.there:
+        if not self.present:
             return 0
         plain = msgspec.structs.replace(self, state=State.ALIVE, by="")
         return int.from_bytes(blake2b(msgspec.msgpack.encode(plain), digest_size=8).digest(), "big")
--- a/reedmount/members/server_reports.py
+++ b/reedmount/members/server_reports.py
@@ -18,10 +18,10 @@
 
 from reedmount.core.checks import COUNTERS
 from reedmount.members.damping import Damping
-from reedmount.members.knowledge import HELD_BACK, Heard, Knowledge
+from reedmount.members.knowledge import HOLD_TIME, Knowledge, StoredObservation
 
-MAX_BOUND = timedelta(seconds=60)  # what is older is not known any more
-MAX_SHARE = 2  # of the servers that serve one in so many may be held back, and one in so many paced
+LONGEST_HOLD = timedelta(seconds=60)  # what is older is not known any more
+SHARE_DIVISOR = 2  # of the servers that serve one in so many may be held back, and one in so many paced
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,76 +33,80 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Evaluation:
     """What holds now, by server."""
 
     held: dict[str, Hold] = field(default_factory=dict)
     starts: dict[str, datetime] = field(default_factory=dict)
-    due: datetime | None = None  # when to look again, if nothing comes before
+    reevaluate_at: datetime | None = None  # when to look again, if nothing comes before
 
 
-class Hearsay:
+class ReportEvaluator:
     """What follows from hearsay; it owns the holds that run and the marks of those that were wrong."""
 
-    def __init__(self, knowledge: Knowledge, cold: timedelta, bound: timedelta = HELD_BACK) -> None:
+    def __init__(self, knowledge: Knowledge, cold: timedelta, max_hold: timedelta = HOLD_TIME) -> None:
         """``cold``: how long a server that has started is cold; ``bound``: the longest hold, 0 to 60 s."""
         self._knowledge, self._cold = knowledge, cold
-        self.bound = min(bound, MAX_BOUND)
+        self.max_hold = min(max_hold, LONGEST_HOLD)
         self.doubted = Damping()
-        self.verdict = Verdict()
+        self.evaluation = Evaluation()
 
-    def look(self, now: datetime, serving: Callable[[str], bool], count: int) -> Verdict:
+    def evaluate(self, now: datetime, serving: Callable[[str], bool], count: int) -> Evaluation:
         """Decide anew. ``serving`` says whether our own sources have a server in service, ``count`` how many
         they have."""
         self.doubted.sweep(now)
-        room = count // MAX_SHARE
+        limit = count // SHARE_DIVISOR
         held: dict[str, Hold] = {}
         starts: dict[str, datetime] = {}
-        for server, kept in self._knowledge:
+        for server, observations in self._knowledge:
             if not serving(server):
                 continue
-            believed = [heard for heard in kept if not self.doubted.damped(heard.fact.by)]
-            hold, start = self._hold(now, believed), self._start(now, server, believed)
+            trusted = [stored for stored in observations if not self.doubted.is_damped(stored.observation.by)]
+            hold, start = self._hold(now, trusted), self._start(now, server, trusted)
             if hold is not None:
                 held[server] = hold
             if start is not None:
                 starts[server] = start
-        held = self._within(room, held)
-        starts = dict(sorted(starts.items(), key=lambda item: item[1], reverse=True)[:room])
-        self._weigh(now, serving, held)
-        instants = [hold.until for hold in held.values()]
-        instants += [start + self._cold for start in starts.values()]
-        self.verdict = Verdict(held, starts, min(instants, default=None))
-        return self.verdict
-
-    def _hold(self, now: datetime, kept: list[Heard]) -> Hold | None:
-        unsafe = [heard for heard in kept if heard.unsafe and heard.observed + self.bound > now]
+        held = self._limit_holds(limit, held)
+        starts = dict(sorted(starts.items(), key=lambda item: item[1], reverse=True)[:limit])
+        self._score_ended_holds(now, serving, held)
+        deadlines = [hold.until for hold in held.values()]
+        deadlines += [start + self._cold for start in starts.values()]
+        self.evaluation = Evaluation(held, starts, min(deadlines, default=None))
+        return self.evaluation
+
+    def _hold(self, now: datetime, observations: list[StoredObservation]) -> Hold | None:
+        unsafe = [
+            stored for stored in observations if stored.unsafe and stored.observed_at + self.max_hold > now
+        ]
         if not unsafe:
             return None
-        until = max(heard.observed for heard in unsafe) + self.bound
-        return Hold(until, tuple(sorted(heard.fact.by for heard in unsafe)))
+        until = max(stored.observed_at for stored in unsafe) + self.max_hold
+        return Hold(until, tuple(sorted(stored.observation.by for stored in unsafe)))
 
-    def _start(self, now: datetime, server: str, kept: list[Heard]) -> datetime | None:
-        latest = max((heard.started for heard in kept if heard.started is not None), default=None)
-        running = self.verdict.starts.get(server)
-        if running is not None and (latest is None or latest <= running + self.bound):
+    def _start(self, now: datetime, server: str, observations: list[StoredObservation]) -> datetime | None:
+        latest = max((stored.started for stored in observations if stored.started is not None), default=None)
+        running = self.evaluation.starts.get(server)
+        if running is not None and (latest is None or latest <= running + self.max_hold):
             latest = running  # sources see one start up to that much later than others: no second one
         return latest if latest is not None and latest + self._cold > now else None
 
-    def _within(self, room: int, held: dict[str, Hold]) -> dict[str, Hold]:
-        if len(held) <= room:
+    def _limit_holds(self, limit: int, held: dict[str, Hold]) -> dict[str, Hold]:
+        if len(held) <= limit:
             return held
-        COUNTERS.add("hearsay.over_bound", len(held) - room)
+        COUNTERS.add("hearsay.over_bound", len(held) - limit)
         # Who is held back already goes first: else two that are level would change places at each look.
-        running = self.verdict.held
+        running = self.evaluation.held
         order = sorted(
             held, key=lambda name: (len(held[name].by), name in running, held[name].until), reverse=True
         )
-        return {server: held[server] for server in order[:room]}
+        return {server: held[server] for server in order[:limit]}
 
-    def _weigh(self, now: datetime, serving: Callable[[str], bool], held: dict[str, Hold]) -> None:
+    def _score_ended_holds(
+        self, now: datetime, serving: Callable[[str], bool], held: dict[str, Hold]
+    ) -> None:
         """Holds that have ended: borne out by our own sources, taken back, or nothing of it came true."""
-        for server, hold in self.verdict.held.items():
+        for server, hold in self.evaluation.held.items():
             if server in held:
                 continue
             if not serving(server):
@@ -110,6 +114,6 @@
             elif now >= hold.until:
                 COUNTERS.add("hearsay.unconfirmed")
                 for by in hold.by:
-                    if self.doubted.came_back(now, by):
+                    if self.doubted.penalize(now, by):
                         COUNTERS.add("hearsay.doubted")
-        COUNTERS.add("hearsay.held", len(held.keys() - self.verdict.held.keys()))
+        COUNTERS.add("hearsay.held", len(held.keys() - self.evaluation.held.keys()))
--- a/reedmount/members/settings.py
+++ b/reedmount/members/settings.py
@@ -28,7 +28,7 @@
 
     def __post_init__(self) -> None:
         """Refuse what is out of bounds."""
-        bounds: tuple[tuple[str, float, float, float], ...] = (
+        limits: tuple[tuple[str, float, float, float], ...] = (
             ("interval", self.interval.total_seconds(), 0.02, 60),
             ("timeout", self.timeout.total_seconds(), 0.005, self.interval.total_seconds() / 2),
             ("relays", self.relays, 0, 8),
@@ -41,17 +41,17 @@
             ("dead_every", self.dead_every, 1, 100),
             ("asked_at_last", self.asked_at_last, 0, 16),
         )
-        for key, value, least, most in bounds:
-            if not least <= value <= most:
-                raise ValueError(f"members.{key} is {value:g}, allowed are {least:g} to {most:g}")
+        for key, value, minimum, maximum in limits:
+            if not minimum <= value <= maximum:
+                raise ValueError(f"members.{key} is {value:g}, allowed are {minimum:g} to {maximum:g}")
 
     @property
-    def asked_again(self) -> int:
+    def probe_retries(self) -> int:
         """How often a probe is sent again, each ``timeout``, so that an answer to the last still counts."""
         return max(1, int(self.interval / self.timeout) - 1)
 
     @property
-    def last_asking(self) -> timedelta:
+    def final_check_span(self) -> timedelta:
         """How long before the end of a suspicion the member is asked for the first time."""
         return self.asked_at_last * self.timeout
 
@@ -61,19 +61,19 @@
         return self.timeout * 0.8
 
     @property
-    def touch(self) -> timedelta:
+    def contact_window(self) -> timedelta:
         """Who was heard within this was heard of late: in it some 20 datagrams come, of others each."""
         return 10 * self.interval
 
     @property
-    def stall(self) -> timedelta:
+    def stall_threshold(self) -> timedelta:
         """Woken later than this, we were away: what came in between is no evidence against anyone."""
         return self.timeout
 
-    def shortest_suspicion(self, members: int) -> timedelta:
+    def min_suspicion(self, members: int) -> timedelta:
         """How long a suspicion lasts at least, in a group of so many."""
         return self.alpha * max(1.0, math.log10(max(1, members))) * self.interval
 
-    def longest_suspicion(self, members: int) -> timedelta:
+    def max_suspicion(self, members: int) -> timedelta:
         """How long it lasts where nobody else suspects."""
-        return self.beta * self.shortest_suspicion(members)
+        return self.beta * self.min_suspicion(members)
--- a/reedmount/members/suspicion.py
+++ b/reedmount/members/suspicion.py
@@ -5,7 +5,7 @@
 import math
 from datetime import datetime, timedelta
 
-from reedmount.members.timer_queue import Due
+from reedmount.members.timer_queue import ScheduledTask
 
 
 class Suspicion:
@@ -17,17 +17,23 @@
     """
 
     def __init__(
-        self, began: datetime, least: timedelta, most: timedelta, wanted: int, by: str, others: int
+        self,
+        began: datetime,
+        shortest: timedelta,
+        longest: timedelta,
+        confirmations: int,
+        by: str,
+        others: int,
     ) -> None:
-        self.began, self._least, self._most = began, least, most
-        self._wanted = min(wanted, max(0, others - 1))
+        self.began, self._shortest, self._longest = began, shortest, longest
+        self._confirmations = min(confirmations, max(0, others - 1))
         self._by = {by}
-        self.asked = 0  # how often we asked the member itself, its end being near
-        self.due: Due | None = None  # the next look at it
+        self.final_checks = 0  # how often we asked the member itself, its end being near
+        self.timer: ScheduledTask | None = None  # the next look at it
 
-    def confirmed(self, by: str) -> bool:
+    def confirm(self, by: str) -> bool:
         """Another member says the same; whether that is news that others need (the first few are)."""
-        if by in self._by or not by or len(self._by) > self._wanted:
+        if by in self._by or not by or len(self._by) > self._confirmations:
             return False
         self._by.add(by)
         return True
@@ -35,12 +41,12 @@
     def extend(self, span: timedelta) -> None:
         """We were away for that long: it had no chance to be refuted to us, nor to answer us."""
         self.began += span
-        self.asked = 0
+        self.final_checks = 0
 
     @property
     def ends_at(self) -> datetime:
         """When it is taken for dead, as things stand."""
-        if self._wanted < 1:
-            return self.began + self._least
-        share = math.log(len(self._by)) / math.log(self._wanted + 1)
-        return self.began + max(self._least, self._most - (self._most - self._least) * share)
+        if self._confirmations < 1:
+            return self.began + self._shortest
+        share = math.log(len(self._by)) / math.log(self._confirmations + 1)
+        return self.began + max(self._shortest, self._longest - (self._longest - self._shortest) * share)
--- a/reedmount/members/timer_queue.py
+++ b/reedmount/members/timer_queue.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 from datetime import datetime
 
-Work = Callable[[datetime], None]
+Callback = Callable[[datetime], None]
 
 
-class Due:
+class ScheduledTask:
     """One piece of work at an instant, unless it is cancelled before."""
 
-    __slots__ = ("at", "cancelled", "order", "work")
+    __slots__ = ("at", "cancelled", "order", "callback")
 
-    def __init__(self, at: datetime, order: int, work: Work) -> None:
-        self.at, self.order, self.work, self.cancelled = at, order, work, False
+    def __init__(self, at: datetime, order: int, callback: Callback) -> None:
+        self.at, self.order, self.callback, self.cancelled = at, order, callback, False
 
-    def __lt__(self, other: Due) -> bool:
+    def __lt__(self, other: ScheduledTask) -> bool:
         """The earlier first; of one instant, the one set first."""
         return (self.at, self.order) < (other.at, other.order)
 
@@ -26,19 +26,19 @@
         self.cancelled = True
 
 
-class Dues:
+class TimerQueue:
     """All that is due. Work that is due sets new work; ``run`` does what has come by then."""
 
     def __init__(self) -> None:
-        self._heap: list[Due] = []
+        self._heap: list[ScheduledTask] = []
         self._order = 0
 
-    def at(self, instant: datetime, work: Work) -> Due:
+    def schedule(self, instant: datetime, callback: Callback) -> ScheduledTask:
         """Do it then."""
         self._order += 1
-        due = Due(instant, self._order, work)
-        heapq.heappush(self._heap, due)
-        return due
+        task = ScheduledTask(instant, self._order, callback)
+        heapq.heappush(self._heap, task)
+        return task
 
     @property
     def next_at(self) -> datetime | None:
@@ -50,4 +50,4 @@
     def run(self, now: datetime) -> None:
         """Do what is due."""
         while (at := self.next_at) is not None and at <= now:
-            heapq.heappop(self._heap).work(now)
+            heapq.heappop(self._heap).callback(now)
--- a/reedmount/members/wire.py
+++ b/reedmount/members/wire.py
@@ -18,17 +18,17 @@
 import msgspec
 from msgspec import Meta
 
-from reedmount.members.knowledge import Fact
-from reedmount.members.record import BUCKETS, MAX_NAME, WORD, Record, Word
+from reedmount.members.knowledge import Observation
+from reedmount.members.record import BUCKETS, MAX_NAME, UINT32_MAX, Record, Word
 
 MAX_DATAGRAM = 256  # bytes; a longer one voids a run on the platform
 MAGIC = b"RM"
 VERSION = 1  # what we write
-READ_FROM = 1  # the oldest version that can read what we write
-HEAD = struct.Struct(">2sBBII")
+OLDEST_READER = 1  # the oldest version that can read what we write
+HEADER = struct.Struct(">2sBBII")
 BUCKET_BYTES = 4
 MAX_RECORDS = 32  # in one datagram, whatever its length says
-MAX_FACTS = 16
+MAX_OBSERVATIONS = 16
 
 
 class WireError(Exception):
@@ -50,7 +50,7 @@
     JOIN = 5  # I am new: tell me who is there
     STATE = 6  # records of what you lack
     BUCKETS = 7  # digests of my table; ``seq`` 1 asks for yours
-    FACTS = 8  # what was seen of call servers
+    OBSERVATIONS = 8  # what was seen of call servers
     UNKNOWN = 255
 
 
@@ -64,10 +64,10 @@
     target: Annotated[str, Meta(max_length=MAX_NAME)] = ""
     buckets: Annotated[bytes, Meta(max_length=BUCKETS * BUCKET_BYTES)] = b""
     records: Annotated[list[Record], Meta(max_length=MAX_RECORDS)] = []
-    facts: Annotated[list[Fact], Meta(max_length=MAX_FACTS)] = []
+    observations: Annotated[list[Observation], Meta(max_length=MAX_OBSERVATIONS)] = []
 
 
-class _Out(msgspec.Struct, array_like=True):
+class _EncodableMessage(msgspec.Struct, array_like=True):
     """A message whose records and facts are encoded already."""
 
     kind: int
@@ -77,7 +77,7 @@
     target: str
     buckets: bytes
     records: list[msgspec.Raw]
-    facts: list[msgspec.Raw] = []
+    observations: list[msgspec.Raw] = []
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -86,43 +86,45 @@
 
 def group_of(name: str) -> int:
     """The id of a fleet: datagrams of another are not taken."""
-    return zlib.crc32(name.encode()) & WORD
+    return zlib.crc32(name.encode()) & UINT32_MAX
 
 
-def _sealed(group: int, body: bytes) -> bytes:
-    check = zlib.crc32(body, zlib.crc32(bytes((VERSION, READ_FROM)) + group.to_bytes(4, "big")))
-    return HEAD.pack(MAGIC, VERSION, READ_FROM, group, check) + body
+def _seal(group: int, body: bytes) -> bytes:
+    check = zlib.crc32(body, zlib.crc32(bytes((VERSION, OLDEST_READER)) + group.to_bytes(4, "big")))
+    return HEADER.pack(MAGIC, VERSION, OLDEST_READER, group, check) + body
 
 
 def write(group: int, message: Message, records: Iterable[Record] = ()) -> tuple[bytes, int]:
     """A datagram with as many of these records, in their order, as have room; how many these were."""
-    out = _out_of(message)
+    out = _encodable(message)
     out.records = _fill(out, records, MAX_RECORDS)
-    return _sealed(group, _encode(out)), len(out.records)
+    return _seal(group, _encode(out)), len(out.records)
 
 
-def write_facts(group: int, message: Message, facts: Iterable[Fact]) -> tuple[bytes, int]:
+def write_observations(
+    group: int, message: Message, observations: Iterable[Observation]
+) -> tuple[bytes, int]:
     """The same with facts."""
-    out = _out_of(message)
-    out.facts = _fill(out, facts, MAX_FACTS)
-    return _sealed(group, _encode(out)), len(out.facts)
+    out = _encodable(message)
+    out.observations = _fill(out, observations, MAX_OBSERVATIONS)
+    return _seal(group, _encode(out)), len(out.observations)
 
 
-def _out_of(message: Message) -> _Out:
+def _encodable(message: Message) -> _EncodableMessage:
     sender, digest, target, buckets = message.sender, message.digest, message.target, message.buckets
-    return _Out(message.kind, message.seq, sender, digest, target, buckets, [])
+    return _EncodableMessage(message.kind, message.seq, sender, digest, target, buckets, [])
 
 
-def _fill(out: _Out, items: Iterable[Record | Fact], most: int) -> list[msgspec.Raw]:
-    room = MAX_DATAGRAM - HEAD.size - len(_encode(out)) - 2  # the array's head may grow by that
-    taken: list[msgspec.Raw] = []
+def _fill(out: _EncodableMessage, items: Iterable[Record | Observation], max_items: int) -> list[msgspec.Raw]:
+    remaining = MAX_DATAGRAM - HEADER.size - len(_encode(out)) - 2  # the array's head may grow by that
+    encoded: list[msgspec.Raw] = []
     for item in items:
         raw = _encode(item)
-        if len(raw) > room or len(taken) == most:
+        if len(raw) > remaining or len(encoded) == max_items:
             break
-        room -= len(raw)
-        taken.append(msgspec.Raw(raw))
-    return taken
+        remaining -= len(raw)
+        encoded.append(msgspec.Raw(raw))
+    return encoded
 
 
 def read(group: int, data: bytes) -> Message:
@@ -130,17 +132,17 @@
     members at all), ``newer``, ``group``, ``damaged`` or ``malformed``."""
     if len(data) > MAX_DATAGRAM:
         raise WireError("long")
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise WireError("short")
-    magic, version, read_from, theirs, check = HEAD.unpack_from(data)
+    magic, version, read_from, their_group, check = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise WireError("foreign")
     if read_from > VERSION:
         raise WireError("newer")
-    body = data[HEAD.size :]
+    body = data[HEADER.size :]
     if zlib.crc32(body, zlib.crc32(data[2:8])) != check:
         raise WireError("damaged")
-    if theirs != group:
+    if their_group != group:
         raise WireError("group")
     try:
         message = _decoder.decode(body)
@@ -156,11 +158,14 @@
 
 def pack_buckets(buckets: Iterable[int]) -> bytes:
     """The digests of a table's buckets."""
-    return b"".join((bucket & WORD).to_bytes(BUCKET_BYTES, "big") for bucket in buckets)
+    return b"".join((bucket & UINT32_MAX).to_bytes(BUCKET_BYTES, "big") for bucket in buckets)
 
 
 def unpack_buckets(data: bytes) -> list[int]:
     """The digests again; empty where there are not as many as ours."""
     if len(data) != BUCKETS * BUCKET_BYTES:
         return []
-    return [int.from_bytes(data[at : at + BUCKET_BYTES], "big") for at in range(0, len(data), BUCKET_BYTES)]
+    return [
+        int.from_bytes(data[offset : offset + BUCKET_BYTES], "big")
+        for offset in range(0, len(data), BUCKET_BYTES)
+    ]
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -265,7 +265,7 @@
 
     return replace(
         settings,
-        instances=sharing_instances(settings.instances, membership.alive, membership.standing.has_quorum),
+        instances=sharing_instances(settings.instances, membership.alive, membership.quorum_state.has_quorum),
     )
 
 
--- a/reedmount/peers/membership.py
+++ b/reedmount/peers/membership.py
@@ -13,10 +13,10 @@
 from reedmount.core.background import Slices, Urgency
 from reedmount.core.checks import COUNTERS, log
 from reedmount.core.clock import micros
-from reedmount.members.knowledge import Fact
-from reedmount.members.outbox import Output, Send, Stood, Told
+from reedmount.members.knowledge import Observation
+from reedmount.members.outbox import ObservationsReceived, Output, QuorumChanged, Send
 from reedmount.members.protocol import Protocol
-from reedmount.members.quorum import Standing
+from reedmount.members.quorum import QuorumState
 from reedmount.members.record import Record
 from reedmount.members.view import Change
 from reedmount.members.wire import MAX_DATAGRAM
@@ -28,7 +28,7 @@
 MAX_HELD = 512  # that are read and not looked at yet; what comes beyond that is lost, as on the net
 SOON = timedelta(milliseconds=20)  # so long they and what is due may wait for calls
 PAGE = 256  # members in one answer at the door
-Hear = Callable[[Change | Stood], None]
+Hear = Callable[[Change | QuorumChanged], None]
 
 
 class Membership:
@@ -56,7 +56,7 @@
         self._held: deque[tuple[Address, bytes]] = deque()
         self._looking = self._closed = False
         self._told: list[Hear] = []
-        self._of_servers: list[Callable[[Told], None]] = []
+        self._of_servers: list[Callable[[ObservationsReceived], None]] = []
         self._number = 0  # of what was told at ``tell``: a reader sees what was lost
         self.seed_discovery: object = None  # what looks for ways in, as long as we are there
         self._timer: Timer | None = None
@@ -71,9 +71,9 @@
         return host, port
 
     @property
-    def standing(self) -> Standing:
+    def quorum_state(self) -> QuorumState:
         """Whether this member may decide for all."""
-        return self.protocol.standing
+        return self.protocol.quorum_state
 
     @property
     def alive(self) -> int:
@@ -84,17 +84,17 @@
         """Have somebody hear of each change of a member, and of our standing."""
         self._told.append(hear)
 
-    def on_facts(self, hear: Callable[[Told], None]) -> None:
+    def on_facts(self, hear: Callable[[ObservationsReceived], None]) -> None:
         """Have somebody hear of what others have seen of call servers."""
         self._of_servers.append(hear)
 
-    def saw(self, fact: Fact) -> None:
+    def saw(self, observation: Observation) -> None:
         """We saw this of a call server ourselves, just now."""
-        self._do(self.protocol.saw(self._loop.clock.now(), fact))
+        self._do(self.protocol.observe(self._loop.clock.now(), observation))
 
     def found_ways(self, ways: Iterable[Address]) -> None:
         """Addresses to join by, as a name has them now."""
-        self._do(self.protocol.ways(self._loop.clock.now(), ways))
+        self._do(self.protocol.seeds_found(self._loop.clock.now(), ways))
 
     def leave(self) -> None:
         """Say that we go; what comes after it is not answered."""
@@ -115,10 +115,10 @@
         table, after = self.protocol.view, query.get("after", "")
         names = sorted(record.name for record in table if record.name > after)
         page = [record for name in names[:PAGE] if (record := table.get(name)) is not None]
-        voters = self.protocol.count.current
+        voters = self.protocol.quorum.current
         return {
             "name": self._settings.name,
-            "standing": self.standing.value,
+            "standing": self.quorum_state.value,
             "roster": {"version": voters.version, "members": len(voters.names), "majority": voters.majority},
             "view": {"version": table.version, "digest": f"{table.digest:016x}", "members": len(table)},
             "health": self.protocol.health.score,
@@ -150,7 +150,7 @@
         try:
             while self._held:
                 source, data = self._held.popleft()
-                self._do(self.protocol.heard(self._loop.clock.now(), source, data))
+                self._do(self.protocol.datagram_received(self._loop.clock.now(), source, data))
                 yield
         finally:  # a fault costs one datagram, not all that come after it
             self._looking = False
@@ -168,7 +168,7 @@
         for output in outputs:
             if isinstance(output, Send):
                 self._send(output)
-            elif isinstance(output, Told):
+            elif isinstance(output, ObservationsReceived):
                 for hear in self._of_servers:
                     hear(output)
             else:
@@ -185,8 +185,8 @@
         except OSError:
             COUNTERS.add("members.not_sent")
 
-    def _tell(self, change: Change | Stood) -> None:
-        if isinstance(change, Stood):
+    def _tell(self, change: Change | QuorumChanged) -> None:
+        if isinstance(change, QuorumChanged):
             log(f"membership: {change.new.value}, was {change.old.value}", "membership")
         elif change.new is not None and (change.old is None or change.old.state is not change.new.state):
             log(f"member {change.name} is {change.new.state.name.lower()}", f"member {change.new.state.name}")
@@ -195,7 +195,7 @@
         if self._settings.tell is not None:
             self._report(self._settings.tell, change)
 
-    def _report(self, to: Address, change: Change | Stood) -> None:
+    def _report(self, to: Address, change: Change | QuorumChanged) -> None:
         """One change as JSON: a datagram that may be lost, since nothing here may wait for a reader."""
         self._number += 1
         line: dict[str, object] = {
@@ -203,7 +203,7 @@
             "at_us": micros(self._loop.clock.now()),
             "view": self.protocol.view.version, "digest": f"{self.protocol.view.digest:016x}",
         }  # fmt: skip
-        if isinstance(change, Stood):
+        if isinstance(change, QuorumChanged):
             line |= {"event": "standing", "old": change.old.value, "new": change.new.value}
         else:
             line |= {
@@ -221,5 +221,5 @@
             "name": record.name, "state": record.state.name.lower(), "incarnation": record.incarnation,
             "life": record.boot_id, "address": format_address(record.address), "zone": record.zone,
             "build": f"{record.build:08x}", "roster": record.voters_id,
-            "damped": self.protocol.damping.damped(record.name),
+            "damped": self.protocol.damping.is_damped(record.name),
         }  # fmt: skip
--- a/reedmount/peers/replication.py
+++ b/reedmount/peers/replication.py
@@ -79,7 +79,7 @@
     ) -> None:
         """``store``: opened; ``writer`` makes its writer. Without both a copy is kept in memory alone."""
         self._loop, self._membership, self._wait = loop, membership, wait
-        voters = membership.protocol.count.current.names
+        voters = membership.protocol.quorum.current.names
         boot_id = membership.protocol.me.boot_id
         self.replicas = Replicas(name, boot_id, voters, faults)
         self.user: User | None = None
@@ -143,12 +143,12 @@
     @property
     def has_quorum(self) -> bool:
         """Whether we are in a majority."""
-        return self._membership.standing.has_quorum
+        return self._membership.quorum_state.has_quorum
 
     def boot_id_of(self, name: str) -> int | None:
         """Of a member that is there, as far as we know."""
         known = self._membership.protocol.view.get(name)
-        return known.boot_id if known is not None and known.there else None
+        return known.boot_id if known is not None and known.present else None
 
     def _address_of(self, name: str) -> Address | None:
         known = self._membership.protocol.view.get(name)
--- a/reedmount/peers/settings.py
+++ b/reedmount/peers/settings.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from reedmount.members.quorum import VoterSet
-from reedmount.members.record import WORD, Record, record_of
+from reedmount.members.record import UINT32_MAX, Record, record_of
 from reedmount.members.settings import Timing
 from reedmount.net.connection import Address
 
@@ -46,4 +46,4 @@
 
 def identity(text: str) -> int:
     """32 bits that tell one program or file from another."""
-    return zlib.crc32(text.encode()) & WORD
+    return zlib.crc32(text.encode()) & UINT32_MAX
--- a/standins/fleet/exchange.py
+++ b/standins/fleet/exchange.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from reedmount.core.clock import EPOCH, micros
-from reedmount.members.knowledge import Belief, Fact, Knowledge, ListState
+from reedmount.members.knowledge import Belief, Knowledge, ListState, Observation
 
 if TYPE_CHECKING:
     from reedmount.control import Controller, Server
@@ -24,17 +24,17 @@
     return EPOCH + now_us * MICRO
 
 
-def facts_of(instance: Instance, now_us: int) -> list[Fact]:
+def observations_of(instance: Instance, now_us: int) -> list[Observation]:
     """What it has seen itself: of servers that answered it."""
     return [
-        Fact(
+        Observation(
             server=server.id,
             by=f"n{instance.number}",
             age_ms=(now_us - server.reading_at_us) // 1000,
             state=ListState.SERVING if server.serving else ListState.DRAINING,
             window=round(100 * server.window),
             delay_us=round(server.mean_wait_us),
-            rest_ms=max(0, server.hold_off_until_us - now_us) // 1000 if server.flagged else 0,
+            hold_off_ms=max(0, server.hold_off_until_us - now_us) // 1000 if server.flagged else 0,
         )
         for server in instance.module._servers.values()
         if server.reading_at_us >= 0
@@ -45,7 +45,7 @@
     """Take what three or more of these say of servers that it knows nothing of itself; of how many it did."""
     knowledge, count = Knowledge(f"n{instance.number}"), 0
     for other in others:
-        knowledge.told(instant(now_us), facts_of(other, now_us))
+        knowledge.receive(instant(now_us), observations_of(other, now_us))
         count += 1
     return sum(
         _believe(instance.module, belief, now_us) for belief in knowledge.beliefs(instant(now_us), count)
--- a/standins/gossip/net.py
+++ b/standins/gossip/net.py
@@ -10,9 +10,9 @@
 from datetime import datetime, timedelta
 
 from reedmount.core.clock import EPOCH
-from reedmount.members.outbox import Output, Send, Stood
+from reedmount.members.outbox import Output, QuorumChanged, Send
 from reedmount.members.protocol import Protocol
-from reedmount.members.quorum import Standing, VoterSet
+from reedmount.members.quorum import QuorumState, VoterSet
 from reedmount.members.record import State, record_of
 from reedmount.members.settings import Timing
 from reedmount.members.view import Change
@@ -41,7 +41,7 @@
     at_s: float
     by: str
     about: str
-    state: State | Standing | None
+    state: State | QuorumState | None
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
                 page = Message(Kind.STATE, 0, teller.protocol.me, bytes(8))
                 data, sent = write(group_of(GROUP), page, records)
                 records = records[sent:]
-                self.carry_out(node, node.protocol.heard(self.clock(node), teller.address, data))
+                self.carry_out(node, node.protocol.datagram_received(self.clock(node), teller.address, data))
 
     def add(self, name: str, address: Address) -> Node:
         """One that no roster names."""
@@ -179,7 +179,7 @@
         if node.stopped:
             node.queue.append((source, data))
             return
-        self.carry_out(node, node.protocol.heard(self.clock(node), source, data))
+        self.carry_out(node, node.protocol.datagram_received(self.clock(node), source, data))
 
     # --- time ---
 
@@ -213,8 +213,8 @@
                     if changed:
                         state = None if new is None else new.state
                         self.history.append(Seen(self.now_s, node.name, output.name, state))
-                case Stood(_, standing):
-                    self.history.append(Seen(self.now_s, node.name, node.name, standing))
+                case QuorumChanged(_, quorum_state):
+                    self.history.append(Seen(self.now_s, node.name, node.name, quorum_state))
         self._set(node)
 
     def _set(self, node: Node) -> None:
@@ -252,14 +252,16 @@
         tables = [node.protocol for node in self.running() if node.protocol is not None]
         names = {node.name for node in self.running()}
         return len({table.view.digest for table in tables}) == 1 and all(
-            {record.name for record in table.view if record.there} == names for table in tables[:1]
+            {record.name for record in table.view if record.present} == names for table in tables[:1]
         )
 
     def busy(self) -> int:
         """How much all of them have still to pass on."""
-        return sum(node.protocol.news for node in self.running() if node.protocol is not None)
+        return sum(node.protocol.pending_updates for node in self.running() if node.protocol is not None)
 
-    def standings(self, names: Iterable[str] | None = None) -> set[Standing]:
+    def quorum_states(self, names: Iterable[str] | None = None) -> set[QuorumState]:
         """The standings of these, or of all that run."""
         wanted = set(self.nodes) if names is None else set(names)
-        return {node.protocol.standing for node in self.running() if node.name in wanted and node.protocol}
+        return {
+            node.protocol.quorum_state for node in self.running() if node.name in wanted and node.protocol
+        }
--- a/tests/test_member_handover.py
+++ b/tests/test_member_handover.py
@@ -11,8 +11,8 @@
 import pytest
 
 from reedmount.core.clock import Clock
-from reedmount.members.outbox import Stood
-from reedmount.members.quorum import Standing
+from reedmount.members.outbox import QuorumChanged
+from reedmount.members.quorum import QuorumState
 from reedmount.members.view import Change
 from reedmount.net.connection import Address, format_address
 from reedmount.net.loop import Loop
@@ -34,10 +34,10 @@
     return [(HOST, port) for port in ports]
 
 
-def _lives(seen: list[str]) -> Callable[[Change | Stood], None]:
+def _lives(seen: list[str]) -> Callable[[Change | QuorumChanged], None]:
     """Keep what becomes of the other one, with its life."""
 
-    def hear(change: Change | Stood) -> None:
+    def hear(change: Change | QuorumChanged) -> None:
         if isinstance(change, Change) and change.new is not None:
             text = f"{change.new.state.name.lower()} {change.new.boot_id}"
             if not seen or seen[-1] != text:
@@ -78,7 +78,7 @@
     kinds = [text.partition(" ")[0] for text in seen]
     assert kinds == ["alive", "alive", "left", "alive"], seen
     assert len({text.partition(" ")[2] for text in seen}) == 3, "a life each"
-    assert watcher.alive == 2 and watcher.standing is Standing.MAJORITY
+    assert watcher.alive == 2 and watcher.quorum_state is QuorumState.MAJORITY
     old.leave()
     watcher.close()
 
--- a/tests/test_member_reports.py
+++ b/tests/test_member_reports.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedmount.members.knowledge import HELD_BACK, MAX_WAY, Fact, Knowledge, ListState
-from reedmount.members.observation_gossip import Rumours
+from reedmount.members.knowledge import HOLD_TIME, MAX_HOP_DELAY, Knowledge, ListState, Observation
+from reedmount.members.observation_gossip import ObservationGossip
 from reedmount.members.record import State
-from reedmount.members.server_reports import Hearsay, Verdict
+from reedmount.members.server_reports import Evaluation, ReportEvaluator
 from reedmount.net.connection import format_address
 from reedmount.pool.claims import Claim, ClaimState
 from reedmount.pool.pool import Change, Pool
@@ -22,8 +22,8 @@
 COLD = 14 * S
 
 
-def leaving(server: str, by: str, state: ListState = ListState.REMOVED, age_ms: int = 0) -> Fact:
-    return Fact(server, by, age_ms, state)
+def leaving(server: str, by: str, state: ListState = ListState.REMOVED, age_ms: int = 0) -> Observation:
+    return Observation(server, by, age_ms, state)
 
 
 class Ear:
@@ -31,85 +31,87 @@
 
     def __init__(self) -> None:
         self.knowledge = Knowledge("me")
-        self.hearsay = Hearsay(self.knowledge, COLD)
+        self.evaluator = ReportEvaluator(self.knowledge, COLD)
         self.ours = set(SERVERS)
 
-    def hear(self, now: datetime, *facts: Fact) -> Verdict:
-        self.knowledge.told(now, facts)
-        return self.look(now)
+    def receive(self, now: datetime, *observations: Observation) -> Evaluation:
+        self.knowledge.receive(now, observations)
+        return self.evaluate(now)
 
-    def look(self, now: datetime) -> Verdict:
-        return self.hearsay.look(now, self.ours.__contains__, len(self.ours))
+    def evaluate(self, now: datetime) -> Evaluation:
+        return self.evaluator.evaluate(now, self.ours.__contains__, len(self.ours))
 
 
 def test_a_server_that_another_saw_leave_is_held_back_until_our_sources_have_had_their_time() -> None:
     ear = Ear()
-    verdict = ear.hear(START, leaving(SERVERS[0], "n1", age_ms=1000))
-    assert verdict.held[SERVERS[0]].by == ("n1",)
-    assert verdict.due == START + HELD_BACK - S - MAX_WAY, "from when it was seen, not from when it was told"
-    assert not ear.look(verdict.due).held and not ear.hearsay.doubted.names
-    again = ear.hear(START + 20 * S, leaving(SERVERS[0], "n1"))
+    evaluation = ear.receive(START, leaving(SERVERS[0], "n1", age_ms=1000))
+    assert evaluation.held[SERVERS[0]].by == ("n1",)
+    assert evaluation.reevaluate_at == START + HOLD_TIME - S - MAX_HOP_DELAY, (
+        "from when it was seen, not from when it was told"
+    )
+    assert not ear.evaluate(evaluation.reevaluate_at).held and not ear.evaluator.doubted.names
+    again = ear.receive(START + 20 * S, leaving(SERVERS[0], "n1"))
     assert list(again.held) == SERVERS[:1]
-    back = ear.hear(START + 21 * S, Fact(SERVERS[0], "n1", 0, ListState.SERVING))
+    back = ear.receive(START + 21 * S, Observation(SERVERS[0], "n1", 0, ListState.SERVING))
     assert not back.held, "who saw it leave saw it come back"
 
 
 def test_no_member_takes_more_than_half_of_the_servers_away_whatever_it_says() -> None:
     ear = Ear()
-    verdict = ear.hear(START, *(leaving(server, "liar") for server in SERVERS))
-    assert len(verdict.held) == 3
-    both = ear.hear(START + S, *(leaving(server, "n2") for server in SERVERS[-2:]))
+    evaluation = ear.receive(START, *(leaving(server, "liar") for server in SERVERS))
+    assert len(evaluation.held) == 3
+    both = ear.receive(START + S, *(leaving(server, "n2") for server in SERVERS[-2:]))
     assert len(both.held) == 3 and set(SERVERS[-2:]) <= set(both.held), "what two have seen goes first"
     ear.ours = {SERVERS[0]}
-    assert not ear.look(START + 2 * S).held, "the last one serves"
+    assert not ear.evaluate(START + 2 * S).held, "the last one serves"
 
 
 def test_whose_word_is_not_borne_out_again_and_again_is_not_taken_for_a_while() -> None:
     ear, now = Ear(), START
     for _ in range(4):
-        assert ear.hear(now, leaving(SERVERS[0], "liar")).held
-        now += HELD_BACK
-        ear.look(now)
-    assert ear.hearsay.doubted.names == ["liar"]
-    assert not ear.hear(now, leaving(SERVERS[0], "liar")).held
-    assert ear.hear(now, leaving(SERVERS[1], "n2")).held, "others are believed as before"
+        assert ear.receive(now, leaving(SERVERS[0], "liar")).held
+        now += HOLD_TIME
+        ear.evaluate(now)
+    assert ear.evaluator.doubted.names == ["liar"]
+    assert not ear.receive(now, leaving(SERVERS[0], "liar")).held
+    assert ear.receive(now, leaving(SERVERS[1], "n2")).held, "others are believed as before"
     later = now + timedelta(minutes=3)
-    assert ear.hear(later, leaving(SERVERS[0], "liar")).held
+    assert ear.receive(later, leaving(SERVERS[0], "liar")).held
 
 
 def test_word_that_our_sources_bear_out_costs_its_teller_nothing() -> None:
     ear, now = Ear(), START
     for server in SERVERS[:4]:
-        assert server in ear.hear(now, leaving(server, "n1")).held
+        assert server in ear.receive(now, leaving(server, "n1")).held
         ear.ours.remove(server)
-        now += HELD_BACK
-        assert server not in ear.look(now).held
-    assert not ear.hearsay.doubted.names
+        now += HOLD_TIME
+        assert server not in ear.evaluate(now).held
+    assert not ear.evaluator.doubted.names
 
 
 def test_one_start_seen_late_by_some_is_one_start() -> None:
     """Each later start would begin the server anew in the module, and forget what it learnt of it."""
     ear = Ear()
-    first = ear.hear(START, Fact(SERVERS[0], "n1", 0, ListState.SERVING, cold_ms=500)).starts
+    first = ear.receive(START, Observation(SERVERS[0], "n1", 0, ListState.SERVING, cold_ms=500)).starts
     for number in range(2, 6):
-        late = Fact(SERVERS[0], f"n{number}", 0, ListState.SERVING, cold_ms=0)
-        assert ear.hear(START + number * S, late).starts == first
-    again = Fact(SERVERS[0], "n2", 0, ListState.SERVING, cold_ms=0)
-    assert ear.hear(START + 12 * S, again).starts[SERVERS[0]] > first[SERVERS[0]] + 10 * S
-    assert not ear.look(START + 27 * S).starts, "warm by now"
+        late = Observation(SERVERS[0], f"n{number}", 0, ListState.SERVING, cold_ms=0)
+        assert ear.receive(START + number * S, late).starts == first
+    again = Observation(SERVERS[0], "n2", 0, ListState.SERVING, cold_ms=0)
+    assert ear.receive(START + 12 * S, again).starts[SERVERS[0]] > first[SERVERS[0]] + 10 * S
+    assert not ear.evaluate(START + 27 * S).starts, "warm by now"
 
 
 def test_one_observation_that_comes_by_several_ways_is_news_once() -> None:
-    rumours = Rumours("me", 6)
-    assert len(rumours.told(START, [leaving(SERVERS[0], "n1", age_ms=300)])) == 1
+    gossip = ObservationGossip("me", 6)
+    assert len(gossip.receive(START, [leaving(SERVERS[0], "n1", age_ms=300)])) == 1
     for age_ms in (250, 150, 400):
-        assert not rumours.told(START, [leaving(SERVERS[0], "n1", age_ms=age_ms)])
-    assert rumours.told(START + S, [Fact(SERVERS[0], "n1", 0, ListState.SERVING)])
-    told = 0
-    while len(rumours):
-        told += 1
-        rumours.sent(rumours.next_facts(START + S)[0], 7)
-    assert told == 6, "times ceil(log10(8)), one word of one server"
+        assert not gossip.receive(START, [leaving(SERVERS[0], "n1", age_ms=age_ms)])
+    assert gossip.receive(START + S, [Observation(SERVERS[0], "n1", 0, ListState.SERVING)])
+    sent_count = 0
+    while len(gossip):
+        sent_count += 1
+        gossip.sent(gossip.next_observations(START + S)[0], 7)
+    assert sent_count == 6, "times ceil(log10(8)), one word of one server"
 
 
 words = st.sampled_from([ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE])
@@ -163,21 +165,24 @@
     group.run(2)
     first = group.nodes["n0"]
     assert first.protocol is not None
-    group.carry_out(first, first.protocol.saw(group.clock(first), leaving(SERVERS[0], "n0")))
+    group.carry_out(first, first.protocol.observe(group.clock(first), leaving(SERVERS[0], "n0")))
     began = group.now_s
 
     def know(server: str) -> int:
         return sum(
-            node.protocol is not None and node.protocol.rumours.knowledge.get(server, "n0") is not None
+            node.protocol is not None
+            and node.protocol.observation_gossip.knowledge.get(server, "n0") is not None
             for node in group.running()
         )
 
     assert group.run(2, lambda: know(SERVERS[0]) == 16), know(SERVERS[0])
     assert group.now_s - began < 1.0
     group.run(3)
-    assert not any(len(node.protocol.rumours) for node in group.running() if node.protocol), "told and done"
-    started = Fact(SERVERS[1], "n0", 0, ListState.SERVING, cold_ms=0)
-    group.carry_out(first, first.protocol.saw(group.clock(first), started))
+    assert not any(len(node.protocol.observation_gossip) for node in group.running() if node.protocol), (
+        "told and done"
+    )
+    started = Observation(SERVERS[1], "n0", 0, ListState.SERVING, cold_ms=0)
+    group.carry_out(first, first.protocol.observe(group.clock(first), started))
     group.run(1)
     group.kill("n9")
     group.run(0.5)
@@ -192,9 +197,9 @@
     group.start()
     group.run(3)
     assert guest.protocol is not None
-    group.carry_out(guest, guest.protocol.saw(group.clock(guest), leaving(SERVERS[0], "stranger")))
+    group.carry_out(guest, guest.protocol.observe(group.clock(guest), leaving(SERVERS[0], "stranger")))
     group.run(3)
     for node in group.nodes.values():
         assert node.protocol is not None
-        knows = node.protocol.rumours.knowledge.get(SERVERS[0], "stranger")
+        knows = node.protocol.observation_gossip.knowledge.get(SERVERS[0], "stranger")
         assert (knows is None) == (node is not guest)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,18 +14,18 @@
 from reedmount.core.checks import COUNTERS
 from reedmount.members.capacity_sharing import sharing_instances
 from reedmount.members.damping import HALF_LIFE, Damping
-from reedmount.members.dissemination import Spread
-from reedmount.members.health import WORST, LocalHealth
+from reedmount.members.dissemination import DisseminationQueue
+from reedmount.members.health import MAX_SCORE, LocalHealth
 from reedmount.members.outbox import Outbox, Send
-from reedmount.members.prober import Round
-from reedmount.members.quorum import Count, Standing, VoterSet
+from reedmount.members.prober import ProbeRound
+from reedmount.members.quorum import QuorumState, QuorumTracker, VoterSet
 from reedmount.members.record import Record, State, record_of
 from reedmount.members.settings import Timing
 from reedmount.members.suspects import Suspects
 from reedmount.members.suspicion import Suspicion
-from reedmount.members.timer_queue import Dues
+from reedmount.members.timer_queue import TimerQueue
 from reedmount.members.view import MAX_RECORDS, View
-from reedmount.members.wire import HEAD, MAX_DATAGRAM, Kind, Message, WireError, group_of, read, write
+from reedmount.members.wire import HEADER, MAX_DATAGRAM, Kind, Message, WireError, group_of, read, write
 from standins.gossip.net import START, Group, Way
 
 GROUP = group_of("fleet")
@@ -76,7 +76,7 @@
 
     def sealed(version: int, read_from: int, body: bytes) -> bytes:
         check = zlib.crc32(body, zlib.crc32(bytes((version, read_from)) + GROUP.to_bytes(4, "big")))
-        return HEAD.pack(b"RM", version, read_from, GROUP, check) + body
+        return HEADER.pack(b"RM", version, read_from, GROUP, check) + body
 
     assert read(GROUP, sealed(2, 1, longer)).sender == ME
     with pytest.raises(WireError, match="newer"):
@@ -100,26 +100,26 @@
     for _ in range(2):
         view = View("me", frozenset(f"n{n}" for n in range(3)), 600 * S)
         for record in made + made[:3]:  # some come twice
-            view.take(START, record)
+            view.merge(START, record)
         views.append(view)
         rng.shuffle(made)
     one, two = views
     assert one.digest == two.digest and one.buckets == two.buckets
     assert sorted(r.rank for r in one) == sorted(r.rank for r in two)
-    assert {r.name for r in one if r.there} == set(one.there) == set(two.there)
+    assert {r.name for r in one if r.present} == set(one.present) == set(two.present)
 
 
 def test_a_table_is_bounded_and_forgets_guests_that_are_gone_but_no_one_of_the_roster() -> None:
     view = View("me", frozenset({"n0"}), 600 * S)
-    view.take(START, other("n0", state=State.DEAD))
+    view.merge(START, other("n0", state=State.DEAD))
     for number in range(1, MAX_RECORDS):
-        view.take(START, other(f"n{number}", state=State.LEFT if number == 5 else State.ALIVE))
+        view.merge(START, other(f"n{number}", state=State.LEFT if number == 5 else State.ALIVE))
     assert len(view) == MAX_RECORDS
-    assert view.take(START, other("late")) is not None, "in place of the one that left"
-    assert view.get("n5") is None and view.take(START, other("later")) is None
-    view.take(START, other("n7", state=State.DEAD))
-    assert not view.forgotten(START + 599 * S)
-    assert [change.name for change in view.forgotten(START + 601 * S)] == ["n7"]
+    assert view.merge(START, other("late")) is not None, "in place of the one that left"
+    assert view.get("n5") is None and view.merge(START, other("later")) is None
+    view.merge(START, other("n7", state=State.DEAD))
+    assert not view.expire(START + 599 * S)
+    assert [change.name for change in view.expire(START + 601 * S)] == ["n7"]
     assert view.get("n0") is not None
 
 
@@ -127,7 +127,7 @@
     def ends(*others: str, group: int = 7) -> float:
         made = Suspicion(START, 2 * S, 12 * S, 3, "n0", group)
         for by in others:
-            made.confirmed(by)
+            made.confirm(by)
         return (made.ends_at - START).total_seconds()
 
     spans = [ends(), ends("n1"), ends("n1", "n2"), ends("n1", "n2", "n3")]
@@ -139,33 +139,33 @@
 def test_whoever_calls_another_dead_has_asked_it_just_before() -> None:
     """A refutation that is lost on all ways to one member made that one call a live member dead."""
 
-    def suspected() -> tuple[Suspects, Dues, Outbox, list[datetime]]:
-        view, dues, died = View("n0", frozenset(), 600 * S), Dues(), list[datetime]()
+    def suspected() -> tuple[Suspects, TimerQueue, Outbox, list[datetime]]:
+        view, timers, died = View("n0", frozenset(), 600 * S), TimerQueue(), list[datetime]()
         for name in ("n1", "n2", "n3"):
-            view.take(START, other(name))
-        box = Outbox(GROUP, ME, view, Spread(6))
-        suspects = Suspects(Timing(), view, dues, box, lambda now, _: died.append(now))
-        view.take(START, other(state=State.SUSPECT, by="n2"))
+            view.merge(START, other(name))
+        outbox = Outbox(GROUP, ME, view, DisseminationQueue(6))
+        suspects = Suspects(Timing(), view, timers, outbox, lambda now, _: died.append(now))
+        view.merge(START, other(state=State.SUSPECT, by="n2"))
         suspects.begin(START, other(state=State.SUSPECT, by="n2"))
-        suspects.confirmed(START, other(state=State.SUSPECT, by="n3"))
-        return suspects, dues, box, died
+        suspects.confirm(START, other(state=State.SUSPECT, by="n3"))
+        return suspects, timers, outbox, died
 
-    def asked(dues: Dues, box: Outbox, until: datetime) -> list[datetime]:
+    def asked(timers: TimerQueue, outbox: Outbox, until: datetime) -> list[datetime]:
         asked = []
-        while (at := dues.next_at) is not None and at <= until:
-            dues.run(at)
-            asked += [at for sent in box.taken() if isinstance(sent, Send) and b"n1" in sent.data]
+        while (at := timers.next_at) is not None and at <= until:
+            timers.run(at)
+            asked += [at for sent in outbox.collect() if isinstance(sent, Send) and b"n1" in sent.data]
         return asked
 
-    _, dues, box, died = suspected()
-    pings = asked(dues, box, START + 60 * S)
-    assert len(died) == 1 and len(pings) == 6 and died[0] - pings[0] == Timing().last_asking
-    suspects, dues, box, died = suspected()
-    assert len(asked(dues, box, pings[2])) == 3
+    _, timers, outbox, died = suspected()
+    pings = asked(timers, outbox, START + 60 * S)
+    assert len(died) == 1 and len(pings) == 6 and died[0] - pings[0] == Timing().final_check_span
+    suspects, timers, outbox, died = suspected()
+    assert len(asked(timers, outbox, pings[2])) == 3
     suspects.extend(30 * S)  # we were away: whatever it answered meanwhile, we did not hear
-    assert len(asked(dues, box, pings[-1] + 25 * S)) == 0 and not died
+    assert len(asked(timers, outbox, pings[-1] + 25 * S)) == 0 and not died
     suspects.clear("n1")
-    assert asked(dues, box, START + 600 * S) == [] and not died
+    assert asked(timers, outbox, START + 600 * S) == [] and not died
 
 
 def test_few_suspect_each_other_where_a_third_of_the_datagrams_is_lost() -> None:
@@ -181,41 +181,41 @@
 
 def test_local_health_is_bounded_and_scales_spans() -> None:
     health = LocalHealth()
-    health.worse(50)
-    assert health.scaled(S) == (WORST + 1) * S
+    health.degrade(50)
+    assert health.scaled(S) == (MAX_SCORE + 1) * S
     for _ in range(20):
-        health.better()
+        health.improve()
     assert health.scaled(S) == S
 
 
 def test_each_record_is_passed_on_a_bounded_number_of_times_the_least_often_sent_first() -> None:
-    spread: Spread[Record] = Spread(3)
+    queue: DisseminationQueue[Record] = DisseminationQueue(3)
     sent: list[str] = []
     for number in range(4):
-        spread.put(other(f"n{number}"))
-    while len(spread):
-        batch = [record for record, _ in zip(spread.waiting(), range(3), strict=False)]
+        queue.put(other(f"n{number}"))
+    while len(queue):
+        batch = [record for record, _ in zip(queue.pending(), range(3), strict=False)]
         sent += [record.name for record in batch]
-        spread.sent(batch, 7)
+        queue.sent(batch, 7)
     assert {name: sent.count(name) for name in set(sent)} == dict.fromkeys(["n0", "n1", "n2", "n3"], 3)
     assert sent[3] == "n3", "the one that had no room went first the next time"
 
 
 def test_a_round_stays_bounded_where_members_come_faster_than_they_are_probed() -> None:
     view = View("me", frozenset(), 600 * S)
-    turn = Round(view, random.Random(1))
+    probe_round = ProbeRound(view, random.Random(1))
     for number in range(1000):
         name = f"n{number % 10}"
-        view.there.add(name)
-        turn.joined(name)
-    assert len(turn._left) <= 2 * 10 + 1
-    assert {turn.next() for _ in range(40)} == {f"n{number}" for number in range(10)}
+        view.present.add(name)
+        probe_round.add(name)
+    assert len(probe_round._remaining) <= 2 * 10 + 1
+    assert {probe_round.next() for _ in range(40)} == {f"n{number}" for number in range(10)}
 
 
 def test_who_flaps_is_damped_and_let_go_once_it_is_steady() -> None:
     damping = Damping()
-    assert [damping.came_back(START + n * S, "n1") for n in range(4)] == [False, False, False, True]
-    assert damping.damped("n1")
+    assert [damping.penalize(START + n * S, "n1") for n in range(4)] == [False, False, False, True]
+    assert damping.is_damped("n1")
     assert not damping.sweep(START + HALF_LIFE)
     assert damping.sweep(START + 3 * HALF_LIFE) == ["n1"]
     damping.sweep(START + 20 * HALF_LIFE)
@@ -223,41 +223,45 @@
 
 
 @pytest.mark.parametrize(
-    ("alive", "suspect", "standing"),
+    ("alive", "suspect", "quorum_state"),
     [
-        (4, 0, Standing.MAJORITY),
-        (3, 1, Standing.UNSURE),
-        (3, 0, Standing.MINORITY),
-        (7, 0, Standing.MAJORITY),
+        (4, 0, QuorumState.MAJORITY),
+        (3, 1, QuorumState.UNSURE),
+        (3, 0, QuorumState.MINORITY),
+        (7, 0, QuorumState.MAJORITY),
     ],
 )
-def test_standing_counts_the_roster_and_ourselves(alive: int, suspect: int, standing: Standing) -> None:
-    count = Count("n0", (VoterSet(1, frozenset(f"n{n}" for n in range(8))),))
+def test_standing_counts_the_roster_and_ourselves(
+    alive: int, suspect: int, quorum_state: QuorumState
+) -> None:
+    count = QuorumTracker("n0", (VoterSet(1, frozenset(f"n{n}" for n in range(8))),))
     for number in range(1, 8):
         state = State.ALIVE if number <= alive else State.SUSPECT if number <= alive + suspect else State.DEAD
-        count.changed(f"n{number}", None, other(f"n{number}", state=state))
+        count.member_changed(f"n{number}", None, other(f"n{number}", state=state))
     for number in range(10, 30):  # guests, whatever they go by
-        count.changed(f"n{number}", None, other(f"n{number}", voters_id=99))
-    assert count.standing(True) is standing
-    assert count.standing(False) is Standing.JOINING
-    out_of_touch = Standing.UNSURE if alive >= 4 else Standing.MINORITY
-    assert count.standing(True, in_touch=False) is out_of_touch
-    count.damp("n1", True, State.ALIVE)
-    assert count.standing(True) is (standing if alive == 7 or not standing.has_quorum else Standing.UNSURE)
+        count.member_changed(f"n{number}", None, other(f"n{number}", voters_id=99))
+    assert count.quorum_state(True) is quorum_state
+    assert count.quorum_state(False) is QuorumState.JOINING
+    out_of_touch = QuorumState.UNSURE if alive >= 4 else QuorumState.MINORITY
+    assert count.quorum_state(True, has_contact=False) is out_of_touch
+    count.set_damped("n1", True, State.ALIVE)
+    assert count.quorum_state(True) is (
+        quorum_state if alive == 7 or not quorum_state.has_quorum else QuorumState.UNSURE
+    )
 
 
 def test_while_two_rosters_are_in_use_both_majorities_are_needed() -> None:
     old, new = (VoterSet(v, frozenset(f"n{n}" for n in r)) for v, r in ((1, range(3)), (2, range(2, 9))))
-    count = Count("n3", (new, old))
+    count = QuorumTracker("n3", (new, old))
     for number in range(4, 9):
-        count.changed(f"n{number}", None, other(f"n{number}", voters_id=new.id))
-    assert count.standing(True) is Standing.MAJORITY
-    count.changed("n2", None, other("n2", voters_id=old.id))
-    assert count.standing(True) is Standing.MINORITY, "one of three of the old one"
-    count.changed("n1", None, other("n1", voters_id=old.id))
-    assert count.standing(True) is Standing.MAJORITY
-    count.changed("n0", None, other("n0", voters_id=12345))
-    assert count.standing(True) is Standing.UNSURE, "a roster that we do not know"
+        count.member_changed(f"n{number}", None, other(f"n{number}", voters_id=new.id))
+    assert count.quorum_state(True) is QuorumState.MAJORITY
+    count.member_changed("n2", None, other("n2", voters_id=old.id))
+    assert count.quorum_state(True) is QuorumState.MINORITY, "one of three of the old one"
+    count.member_changed("n1", None, other("n1", voters_id=old.id))
+    assert count.quorum_state(True) is QuorumState.MAJORITY
+    count.member_changed("n0", None, other("n0", voters_id=12345))
+    assert count.quorum_state(True) is QuorumState.UNSURE, "a roster that we do not know"
 
 
 def test_settings_out_of_bounds_are_refused_by_name() -> None:
@@ -274,7 +278,7 @@
     group.start()
     assert group.run(30, group.agreed)
     group.run(10)
-    assert group.standings() == {Standing.MAJORITY}
+    assert group.quorum_states() == {QuorumState.MAJORITY}
     return group
 
 
@@ -324,7 +328,7 @@
         about = [seen for seen in group.history if seen.at_s > at and seen.about != seen.by]
         assert {seen.about for seen in about} <= {"n3"}, "nobody else changed in any view"
         assert max(sum(seen.by == node.name for seen in about) for node in group.running()) <= 4
-        assert group.agreed() and group.standings() == {Standing.MAJORITY}
+        assert group.agreed() and group.quorum_states() == {QuorumState.MAJORITY}
 
 
 def test_a_cut_of_three_from_five_leaves_one_side_that_may_decide_and_one_view_after() -> None:
@@ -332,11 +336,13 @@
     few, many = ["n0", "n1", "n2"], [f"n{n}" for n in range(3, 8)]
     group.cut(few, many)
     group.run(20)
-    assert group.standings(few) == {Standing.MINORITY} and group.standings(many) == {Standing.MAJORITY}
+    assert group.quorum_states(few) == {QuorumState.MINORITY} and group.quorum_states(many) == {
+        QuorumState.MAJORITY
+    }
     group.heal()
     assert group.run(10, group.agreed)
     group.run(1)
-    assert group.standings() == {Standing.MAJORITY}
+    assert group.quorum_states() == {QuorumState.MAJORITY}
     assert all(len(node.protocol.view) == 8 for node in group.running() if node.protocol)
 
 
@@ -346,11 +352,11 @@
         group = started(seed=seed)
         group.cut(["n0"], [f"n{n}" for n in range(1, 8)])
         group.run(10 * group.timing.interval.total_seconds() + 0.6)
-        assert Standing.MAJORITY not in group.standings(["n0"])
+        assert QuorumState.MAJORITY not in group.quorum_states(["n0"])
         group.heal()
         assert group.run(20, group.agreed)
         group.run(2)
-        assert group.standings() == {Standing.MAJORITY}
+        assert group.quorum_states() == {QuorumState.MAJORITY}
 
 
 def test_newcomers_in_a_minority_do_not_make_it_a_majority() -> None:
@@ -361,8 +367,8 @@
     group.start(guests)
     group.run(20)
     assert group.state("n0", "g1") is State.ALIVE
-    assert group.standings(few) == {Standing.MINORITY}
-    assert Standing.MAJORITY not in group.standings(guests)
+    assert group.quorum_states(few) == {QuorumState.MINORITY}
+    assert QuorumState.MAJORITY not in group.quorum_states(guests)
 
 
 def test_a_one_way_cut_is_bridged_by_relays_or_known_and_heals() -> None:
@@ -374,7 +380,9 @@
     group.cut(["n0"], [f"n{n}" for n in range(1, 8)], both=False)  # it hears all, and none hears it
     assert group.run(20, lambda: all(group.state(f"n{n}", "n0") is State.DEAD for n in range(1, 8)))
     group.run(20)
-    assert group.standings(["n0"]) <= {Standing.MINORITY, Standing.UNSURE}, "it hears of its own death"
+    assert group.quorum_states(["n0"]) <= {QuorumState.MINORITY, QuorumState.UNSURE}, (
+        "it hears of its own death"
+    )
     group.heal()
     assert group.run(10, group.agreed)
 
@@ -387,7 +395,7 @@
     group.start(half)
     assert group.run(5, group.agreed)
     group.run(2)
-    assert group.standings() == {Standing.MAJORITY}
+    assert group.quorum_states() == {QuorumState.MAJORITY}
     group.run(30)
     assert group.agreed() and all(len(n.protocol.view) == 8 for n in group.running() if n.protocol)
 
@@ -446,7 +454,7 @@
     for reason, (source, sender) in lies.items():
         count = COUNTERS[f"members.dropped.{reason}"]
         data, _ = write(GROUP, Message(Kind.PING, 1, sender, b"12345678"))
-        assert not node.protocol.heard(group.clock(node), source, data)
+        assert not node.protocol.datagram_received(group.clock(node), source, data)
         assert COUNTERS[f"members.dropped.{reason}"] == count + 1
     assert node.protocol.view.version == before
 
@@ -485,12 +493,16 @@
     known = node.view.get("n1")
     assert known is not None
     group.cut(["n0"], ["n1"])
-    node._learn(group.clock(group.nodes["n0"]), known.as_state(State.SUSPECT, "n2"))
-    node._spread.drop("n1")  # it was passed on often enough
+    node._merge(group.clock(group.nodes["n0"]), known.as_state(State.SUSPECT, "n2"))
+    node._dissemination.drop("n1")  # it was passed on often enough
     for number in range(90, 130):
-        node._spread.put(other(f"n{number}"))
+        node._dissemination.put(other(f"n{number}"))
     node._probe(group.clock(group.nodes["n0"]), "n1")
-    sent = [output for output in node._done() if isinstance(output, Send) and output.to == known.address]
+    sent = [
+        output
+        for output in node._collect_outputs()
+        if isinstance(output, Send) and output.to == known.address
+    ]
     first = read(GROUP, sent[-1].data).records[0]
     assert (first.name, first.state) == ("n1", State.SUSPECT)
 
@@ -570,7 +582,7 @@
     def nobody_decides_whose_own_table_shows_no_majority(self) -> None:
         for node in getattr(self, "group", Group(0, 0)).running():
             assert node.protocol is not None
-            if node.protocol.standing.has_quorum:
+            if node.protocol.quorum_state.has_quorum:
                 alive = sum(record.state is State.ALIVE for record in node.protocol.view)
                 assert alive >= self.group.voters.majority
 
@@ -594,9 +606,9 @@
     """The alive ones go by the view, those cut off by the settings: the module leaves 13/16 of what tips."""
     alive = min(alive, configured)
     if alive * 2 <= configured:
-        assert sharing_instances(configured, max(1, alive), sure=False) >= configured
+        assert sharing_instances(configured, max(1, alive), has_quorum=False) >= configured
         return
-    ours = alive / sharing_instances(configured, alive, sure=True)
-    theirs = (configured - alive) / sharing_instances(configured, configured - alive, sure=False)
+    ours = alive / sharing_instances(configured, alive, has_quorum=True)
+    theirs = (configured - alive) / sharing_instances(configured, configured - alive, has_quorum=False)
     assert 13 / 16 * (ours + theirs) < 1
-    assert sharing_instances(configured, configured + guests, sure=False) == configured + guests
+    assert sharing_instances(configured, configured + guests, has_quorum=False) == configured + guests
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from reedmount.config import ConfigError
 from reedmount.core.checks import COUNTERS
 from reedmount.members.outbox import Output
-from reedmount.members.quorum import Standing
+from reedmount.members.quorum import QuorumState
 from reedmount.operator_file import read_operator
 from reedmount.peers.membership import MAX_HELD, Membership
 from reedmount.peers.platform import read_peers, settings_of
@@ -120,7 +120,7 @@
         for number, place in enumerate(places, 1)
     ]
     assert world.until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
-    assert {peer.standing for peer in group} == {Standing.MAJORITY}
+    assert {peer.quorum_state for peer in group} == {QuorumState.MAJORITY}
     shown = group[0].view({})
     assert [line["name"] for line in shown["members"]] == ["n1", "n2", "n3"]  # type: ignore[attr-defined]
     assert group[0].view({"after": "n2"})["more"] is None
@@ -135,13 +135,13 @@
     world.run(timedelta(milliseconds=20))
     assert COUNTERS["members.dropped.no_room"] > before
 
-    plain_heard, faults = group[1].protocol.heard, COUNTERS["members.heard"]
+    plain_heard, faults = group[1].protocol.datagram_received, COUNTERS["members.heard"]
 
     def bad(*_: object) -> list[Output]:
-        group[1].protocol.heard = plain_heard  # type: ignore[method-assign]
+        group[1].protocol.datagram_received = plain_heard  # type: ignore[method-assign]
         raise RuntimeError("bad")
 
-    group[1].protocol.heard = bad  # type: ignore[method-assign,assignment]
+    group[1].protocol.datagram_received = bad  # type: ignore[method-assign,assignment]
     with pytest.raises(RuntimeError):  # a debug build stops there
         world.run(timedelta(seconds=2))
     world.run(timedelta(seconds=2))
@@ -151,7 +151,7 @@
     assert world.until(lambda: group[0].alive == 2, timedelta(seconds=2))
     group[2].close()
     world.run(timedelta(seconds=20))
-    assert {peer.standing for peer in group[:2]} == {Standing.MAJORITY}
+    assert {peer.quorum_state for peer in group[:2]} == {QuorumState.MAJORITY}
     for peer in group[:2]:
         peer.close()
     socks[3].close()
