--- a/reedmount/members/anti_entropy.py
+++ b/reedmount/members/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Tables that differ where nothing is on its way that explains it: found by digests, mended by records."""
+"""Anti-entropy: finds views that differ although no update is pending, by digests, and exchanges records."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class AntiEntropy:
-    """Anti-entropy of the view: gossip is bounded, so some member misses something some day."""
+    """Anti-entropy of the view: gossip is bounded, so a member may miss an update."""
 
     def __init__(
         self, view: View, outbox: Outbox, spread: DisseminationQueue[Record], rng: random.Random
     ) -> None:
         self._view, self._outbox, self._dissemination, self._rng = view, outbox, spread, rng
-        self._mismatches = 0  # digests in a row that were other ones while nothing was on its way
-        self._started = False  # in this period
+        self._mismatches = 0  # consecutive differing digests while no update was pending
+        self._started = False  # an exchange in this period
 
     def begin_period(self) -> None:
-        """A period of probes begins: in each one repair at most."""
+        """Start a probe period, in each of which at most one exchange is started."""
         self._started = False
 
     def compare_digest(self, message: Message) -> None:
-        """Look at the digest that a datagram brings; begin to mend what it shows."""
+        """Compare the sender's digest with ours; at the second mismatch in a row, start an exchange."""
         if message.kind in (Kind.JOIN, Kind.BUCKETS, Kind.STATE):
             return
         if int.from_bytes(message.digest, "big") == self._view.digest:
@@ -42,14 +42,14 @@
             self._outbox.send(Kind.BUCKETS, message.sender, seq=1, buckets=pack_buckets(self._view.buckets))
 
     def handle_buckets(self, message: Message) -> None:
-        """Tell what the other lacks; where it asks, have it tell us the same."""
+        """Send the records of differing buckets; if the sender requests it, also our bucket digests."""
         theirs = unpack_buckets(message.buckets)
         if not theirs:
             COUNTERS.add("members.dropped.buckets")
             return
-        differing = self._view.differing_buckets(theirs)
-        records = [record for bucket in differing for record in self._view.bucket_records(bucket)]
-        self._rng.shuffle(records)  # more than fit now: the others have their chance the next time
+        differing_buckets = self._view.differing_buckets(theirs)
+        records = [record for bucket in differing_buckets for record in self._view.bucket_records(bucket)]
+        self._rng.shuffle(records)  # not all may fit: each gets its chance in a later exchange
         self._outbox.send_pages(message.sender, records)
         if message.seq == 1:
             self._outbox.send(Kind.BUCKETS, message.sender, seq=0, buckets=pack_buckets(self._view.buckets))
--- a/reedmount/members/damping.py
+++ b/reedmount/members/damping.py
@@ -1,4 +1,4 @@
-"""Who flaps: members that die and come back again and again, after RFC 2439's damping of routes."""
+"""Flap damping of members that repeatedly die and come back, after RFC 2439's route damping."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-DEATH_PENALTY = 1000.0  # what a death that was none, or a restart, costs
-SUPPRESS_THRESHOLD = 3000.0  # over this a member is damped
-REUSE_THRESHOLD = 1000.0  # under this it is not any more
-MAX_PENALTY = 6000.0  # so that the longest damping is bounded: log2(6) half-lives
+DEATH_PENALTY = 1000.0  # per false death or restart
+SUPPRESS_THRESHOLD = 3000.0  # above this a member is damped
+REUSE_THRESHOLD = 1000.0  # below this it is released
+MAX_PENALTY = 6000.0  # bounds the longest damping: log2(6) half-lives
 FORGET_THRESHOLD = 50.0
 HALF_LIFE = timedelta(seconds=30)
 
@@ -18,47 +18,47 @@
 class _Penalty:
     penalty: float
     updated_at: datetime
-    damped: bool = False
+    is_damped: bool = False
 
     def decayed(self, now: datetime) -> float:
         return self.penalty * math.exp2(-((now - self.updated_at) / HALF_LIFE))
 
 
 class Damping:
-    """The penalties. A name is kept while its penalty counts for something: ``sweep`` empties it."""
+    """Penalties by name; ``sweep`` removes those that have decayed."""
 
     def __init__(self) -> None:
         self._penalties: dict[str, _Penalty] = {}
 
     def __len__(self) -> int:
-        """How many have a penalty."""
+        """The number of names with a penalty."""
         return len(self._penalties)
 
     @property
     def names(self) -> list[str]:
-        """Who is damped now."""
-        return sorted(name for name, entry in self._penalties.items() if entry.damped)
+        """The damped names, sorted."""
+        return sorted(name for name, entry in self._penalties.items() if entry.is_damped)
 
     def penalize(self, now: datetime, name: str) -> bool:
-        """One that was called dead is alive; whether that makes it a damped one."""
+        """Add a penalty; returns whether the name becomes damped by it."""
         entry = self._penalties.setdefault(name, _Penalty(0.0, now))
         entry.penalty, entry.updated_at = min(MAX_PENALTY, entry.decayed(now) + DEATH_PENALTY), now
-        newly_damped = entry.penalty > SUPPRESS_THRESHOLD and not entry.damped
-        entry.damped = entry.damped or newly_damped
+        newly_damped = entry.penalty > SUPPRESS_THRESHOLD and not entry.is_damped
+        entry.is_damped = entry.is_damped or newly_damped
         return newly_damped
 
     def is_damped(self, name: str) -> bool:
-        """Whether its word that it is well does not count now, as of the latest sweep."""
+        """Whether a name is damped, as of the latest sweep."""
         entry = self._penalties.get(name)
-        return entry is not None and entry.damped
+        return entry is not None and entry.is_damped
 
     def sweep(self, now: datetime) -> list[str]:
-        """Let penalties fade; who is damped no more."""
+        """Release and remove names whose penalties have decayed; returns the released ones."""
         released = []
         for name, entry in list(self._penalties.items()):
             penalty = entry.decayed(now)
-            if entry.damped and penalty < REUSE_THRESHOLD:
-                entry.damped = False
+            if entry.is_damped and penalty < REUSE_THRESHOLD:
+                entry.is_damped = False
                 released.append(name)
             if penalty < FORGET_THRESHOLD:
                 del self._penalties[name]
--- a/reedmount/members/dissemination.py
+++ b/reedmount/members/dissemination.py
@@ -1,4 +1,4 @@
-"""What is still to be passed on: each record a bounded number of times, those sent least often first."""
+"""The dissemination queue: each record is sent a bounded number of times, the least often sent first."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 
 
 class Named(Protocol):
-    """What can be passed on: a newer one of a name takes the older one's place."""
+    """An item of the queue; a newer one replaces an older one of the same name."""
 
     @property
     def name(self) -> str:
-        """Whose it is."""
+        """The name that identifies it."""
 
 
 T = TypeVar("T", bound=Named)
 
 
 class DisseminationQueue(Generic[T]):
-    """The queue of updates that ride on datagrams. A newer record of a name takes the older one's place.
+    """Updates that are piggybacked on datagrams. A newer record replaces an older one of the same name.
 
-    Kept in tiers by how often each was sent, so that a datagram costs what it carries.
+    Records are kept in tiers by the number of transmissions, so that the cost of a datagram depends only on
+    the records that it carries.
     """
 
     def __init__(self, times: int) -> None:
@@ -30,37 +31,37 @@
         self._tier_of: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """How many records wait."""
+        """The number of queued records."""
         return len(self._tier_of)
 
     def limit(self, members: int) -> int:
-        """How often one member sends a record in a group of so many."""
+        """How often one member sends a record in a group of this size."""
         return self._times * math.ceil(math.log10(members + 1))
 
     def put(self, record: T) -> None:
-        """Pass this on, in place of what was passed on of that member."""
+        """Queue a record, replacing the one of the same name."""
         self.drop(record.name)
         self._tiers[0][record.name] = record
         self._tier_of[record.name] = 0
 
     def drop(self, name: str) -> None:
-        """Say nothing more of this member."""
+        """Remove the record of this name."""
         tier = self._tier_of.pop(name, None)
         if tier is not None:
             del self._tiers[tier][name]
 
     def pending(self) -> Iterator[T]:
-        """In the order in which they should go."""
+        """The queued records in sending order."""
         for tier in self._tiers:
             yield from tier.values()
 
     def sent(self, records: list[T], members: int) -> None:
-        """These have gone out once more; what went out often enough is dropped."""
+        """Count one more transmission of these; removes those that have reached the limit."""
         limit = self.limit(members)
         for record in records:
             tier = self._tier_of.get(record.name)
             if tier is None or self._tiers[tier].get(record.name) is not record:
-                continue  # one that was sent for another reason
+                continue  # sent for another reason, or replaced since
             del self._tiers[tier][record.name]
             if tier + 1 >= limit:
                 del self._tier_of[record.name]
--- a/reedmount/members/health.py
+++ b/reedmount/members/health.py
@@ -1,4 +1,4 @@
-"""How well we do ourselves: Lifeguard's local health multiplier. A slow member must not call others dead."""
+"""Lifeguard's local health multiplier: a slow member must not declare others dead."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class LocalHealth:
-    """0 is well; our own periods and timeouts are one more than this times as long."""
+    """A score from 0, healthy; our own periods and timeouts are multiplied by the score plus one."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def degrade(self, amount: int = 1) -> None:
-        """A probe failed, a relay said nothing, or we had to refute our own death."""
+        """Raise the score: a probe failed, a relay sent no NACK, or this member had to refute a claim."""
         self.score = min(MAX_SCORE, self.score + amount)
 
     def improve(self) -> None:
-        """A probe was answered in time."""
+        """Lower the score: a probe was answered in time."""
         self.score = max(0, self.score - 1)
 
     def scaled(self, span: timedelta) -> timedelta:
-        """A span of the settings as we have to take it now."""
+        """A configured span, multiplied by the current local health."""
         return span * (self.score + 1)
--- a/reedmount/members/observation_gossip.py
+++ b/reedmount/members/observation_gossip.py
@@ -1,4 +1,4 @@
-"""What was seen of call servers and is still to be told, with its age, a bounded number of times."""
+"""Gossip of call server observations, each sent with its age and a bounded number of times."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from reedmount.members.dissemination import DisseminationQueue
 from reedmount.members.knowledge import Knowledge, Observation, StoredObservation
 
-MAX_PER_DATAGRAM = 8  # facts that could have room in a datagram
+MAX_PER_DATAGRAM = 8  # observations that could fit into a datagram
 
 
 @dataclass(frozen=True, slots=True)
 class ObservationKey:
-    """Of which server, and who saw it; the fact itself is taken from what is known when it is told."""
+    """Server and observer; the observation itself is looked up when it is sent."""
 
     server: str
     by: str
 
     @property
     def name(self) -> str:
-        """One observer's word of one server: a newer one takes its place."""
+        """The key in the queue: a newer observation of a server by the same observer replaces the older."""
         return f"{self.server} {self.by}"
 
 
 class ObservationGossip:
-    """The owner of what members know of call servers. Only changes are told: that a server drains, is gone,
-    came back or has started; each by who saw it itself, to everybody, once."""
+    """Owns the stored observations and the queue of those to send. Only changes are gossiped: a server
+    drains, was removed, came back or has started. Observers send their own; every member forwards them."""
 
     def __init__(self, me: str, times: int) -> None:
         self.knowledge = Knowledge(me)
         self._dissemination: DisseminationQueue[ObservationKey] = DisseminationQueue(times)
 
     def __len__(self) -> int:
-        """How many are still to be passed on."""
+        """The number of observations still to be sent."""
         return len(self._dissemination)
 
     def observe(self, now: datetime, observation: Observation) -> None:
-        """We saw this ourselves, just now."""
+        """Store and gossip an observation that this member just made."""
         self.knowledge.observe(now, observation)
         self._dissemination.put(ObservationKey(observation.server, observation.by))
 
     def receive(
         self, now: datetime, observations: Iterable[Observation], pass_on: bool = True
     ) -> tuple[Observation, ...]:
-        """Others say so; what of it was news."""
+        """Merge received observations; returns the new ones, which are also forwarded with ``pass_on``."""
         fresh = tuple(observation for observation in observations if self.knowledge.merge(now, observation))
         if pass_on:
             for observation in fresh:
@@ -53,7 +53,7 @@
         return fresh
 
     def next_observations(self, now: datetime) -> tuple[list[ObservationKey], list[Observation]]:
-        """What goes next, as far as it could have room; what was forgotten meanwhile is told no more."""
+        """The next observations to send, at most a datagram full; ones that have expired are dropped."""
         keys: list[ObservationKey] = []
         observations: list[Observation] = []
         expired = []
@@ -71,11 +71,11 @@
         return keys, observations
 
     def sent(self, keys: list[ObservationKey], members: int) -> None:
-        """These have gone out once more."""
+        """Count one more transmission of these."""
         self._dissemination.sent(keys, members)
 
     def all_observations(self, now: datetime) -> list[Observation]:
-        """All that is known and not too old, for a newcomer; the freshest first."""
+        """All observations that have not expired, for a newcomer; the latest first."""
         self.knowledge.forget(now)
         found = [stored for _, by_observer in self.knowledge for stored in by_observer]
         found.sort(key=lambda stored: stored.observed_at, reverse=True)
--- a/reedmount/members/outbox.py
+++ b/reedmount/members/outbox.py
@@ -1,4 +1,4 @@
-"""What goes out: datagrams with as much news as has room, the record that its receiver must know of first."""
+"""Outgoing datagrams: first the record that the receiver may have to refute, then as many updates as fit."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from reedmount.members.wire import Kind, Message, write, write_observations
 from reedmount.net.connection import Address
 
-MAX_UPDATES = 12  # records that could have room in a datagram
-MAX_PAGES = 3  # datagrams of records in one answer
+MAX_UPDATES = 12  # records that could fit into a datagram
+MAX_PAGES = 3  # datagrams in one answer
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram to go out."""
+    """A datagram to send."""
 
     to: Address
     data: bytes
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumChanged:
-    """Our standing is another one."""
+    """The quorum state of this member has changed."""
 
     old: QuorumState
     new: QuorumState
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservationsReceived:
-    """Others have seen this of call servers, which is news to us."""
+    """New observations of call servers by other members."""
 
     observations: tuple[Observation, ...]
 
@@ -45,7 +45,7 @@
 
 
 class Outbox:
-    """Datagrams and news for the owner, in order; it knows what we say of ourselves."""
+    """Collects datagrams and events for the owner, in order; holds this member's own record."""
 
     def __init__(self, group: int, me: Record, view: View, spread: DisseminationQueue[Record]) -> None:
         self.me = me
@@ -53,11 +53,11 @@
         self._out: list[Output] = []
 
     def add(self, output: Output) -> None:
-        """Tell the owner this."""
+        """Add an event for the owner."""
         self._out.append(output)
 
     def collect(self) -> list[Output]:
-        """All that there is, once."""
+        """Return and clear the collected outputs."""
         out, self._out = self._out, []
         return out
 
@@ -70,7 +70,7 @@
         buckets: bytes = b"",
         first: tuple[Record, ...] = (),
     ) -> None:
-        """A datagram to a member: what it has to know of itself first, then what is asked for, then news."""
+        """Send a datagram to a member: the claim it may have to refute, then ``first``, then updates."""
         self.send_to(kind, to.address, seq, target, buckets, (*self._refutable_claim(to), *first))
 
     def send_to(
@@ -82,14 +82,14 @@
         buckets: bytes = b"",
         first: tuple[Record, ...] = (),
     ) -> None:
-        """A datagram to an address of which no more is known."""
+        """Send a datagram to an address whose member is not known."""
         updates = [*first, *self._pending_updates(first)]
         data, sent = write(self._group, self._message(kind, seq, target, buckets), updates)
         self._dissemination.sent(updates[len(first) : sent], len(self._view.present) + 1)
         self._post(to, data)
 
     def send_pages(self, to: Record, records: list[Record]) -> None:
-        """As many of these records as a few datagrams hold."""
+        """Send as many of these records as fit into ``MAX_PAGES`` datagrams."""
         claim = self._refutable_claim(to)
         for _ in range(MAX_PAGES):
             if not records and not claim:
@@ -99,7 +99,7 @@
             records, claim = records[max(0, sent - len(claim)) :], ()
 
     def send_observations(self, to: Record, observations: list[Observation]) -> int:
-        """A datagram of what was seen of call servers; how many had room."""
+        """Send a datagram of call server observations; returns how many fitted."""
         data, sent = write_observations(self._group, self._message(Kind.OBSERVATIONS), observations)
         self._post(to.address, data)
         return sent
@@ -113,7 +113,7 @@
         return Message(kind, seq, self.me, self._view.digest.to_bytes(8, "big"), target, buckets)
 
     def _refutable_claim(self, to: Record) -> tuple[Record, ...]:
-        """The buddy system: who is suspected, or outdone by what we hold, is the one who can refute it."""
+        """Lifeguard's buddy system: a member that is suspected or outranked in our view hears of it first."""
         known = self._view.get(to.name)
         if known is not None and (known.state is not State.ALIVE or known.rank > to.rank):
             return (known,)
--- a/reedmount/members/prober.py
+++ b/reedmount/members/prober.py
@@ -1,4 +1,4 @@
-"""Whom to probe next, and which probes are out: the round of SWIM, without a word of what follows from it."""
+"""Pending probes and SWIM's round-robin choice of targets; the protocol handles the outcome."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 from reedmount.members.timer_queue import ScheduledTask
 from reedmount.members.view import View
 
-MAX_RELAYED = 256  # probes that we carry out for others at once; more are not begun
+MAX_RELAYED = 256  # probes on behalf of others at once; further requests are refused
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of ours: answered, or not by the end of its period."""
+    """A probe of this member's own, until it is answered or its period ends."""
 
     seq: int
     name: str
     incarnation: int
     target_dead: bool
-    awaited_nacks: set[str] = field(default_factory=set)  # relays whose word is still out
-    relays: list[str] = field(default_factory=list)  # that were asked
+    awaited_nacks: set[str] = field(default_factory=set)  # relays that have not sent a NACK
+    relays: list[str] = field(default_factory=list)  # members asked to relay this probe
     timers: list[ScheduledTask] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """A probe for another member."""
+    """A probe on behalf of another member."""
 
     requester: str
-    seq: int  # the asker's
+    seq: int  # of the requester
     timer: ScheduledTask
 
 
 class ProbeRound:
-    """Each member that is there once in a round, in random order; newcomers at a random place of this one.
+    """Probes each present member once per round, in random order; newcomers are inserted at random.
 
-    So each is probed at least once in two rounds, whatever the draw: SWIM's bound of the detection time.
+    So each is probed at least once in two rounds, whatever the order: SWIM's bound on the detection time.
     """
 
     def __init__(self, view: View, rng: random.Random) -> None:
         self._view, self._rng = view, rng
-        self._remaining: list[str] = []  # of this round, the next one last
+        self._remaining: list[str] = []  # of this round; the next one is last
 
-    def add(self, name: str) -> None:
-        """One more. Where they come faster than they are probed, the round begins anew: it stays bounded."""
+    def include(self, name: str) -> None:
+        """Add a newcomer. If they join faster than they are probed, restart the round, to keep it bounded."""
         if len(self._remaining) > 2 * len(self._view.present):
             self._remaining = list(self._view.present)
             self._rng.shuffle(self._remaining)
@@ -52,7 +52,7 @@
         self._remaining.insert(self._rng.randrange(len(self._remaining) + 1), name)
 
     def next(self) -> str | None:
-        """Whom to probe now; None where nobody else is there."""
+        """The next member to probe; None if no other is present."""
         for _ in range(2):
             while self._remaining:
                 name = self._remaining.pop()
--- a/reedmount/members/protocol.py
+++ b/reedmount/members/protocol.py
@@ -1,8 +1,9 @@
-"""The membership protocol as a state machine: ``(now, datagram or time) -> datagrams and changes``. No I/O.
+"""The membership protocol as a state machine: ``(now, datagram or timer) -> datagrams and changes``. No I/O.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018): docs/design/membership.md has
-what was chosen and why. The owner gives it datagrams (``heard``), calls ``wake`` when ``due_at`` has come and
-carries out what both return. All times are the owner's clock; none is ever compared with another member's.
+SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018); docs/design/membership.md
+describes the design. The owner passes in datagrams (``datagram_received``), calls ``wake`` at ``due_at`` and
+executes the outputs that both return. All times come from the owner's clock; none is compared with another
+member's.
 """
 
 from __future__ import annotations
@@ -31,14 +32,14 @@
 from reedmount.members.wire import Kind, Message, WireError, group_of, read
 from reedmount.net.connection import Address
 
-MIN_CONTACTS = 5  # others heard of late, or a majority where that is less: then we are in touch
-JOIN_FANOUT = 8  # that are asked at once who is there
-MAX_FOUND_SEEDS = 64  # addresses to join by that are kept beside those of the settings
+MIN_CONTACTS = 5  # voters recently received from, or a majority if that is fewer, to have contact
+JOIN_FANOUT = 8  # seeds that receive a JOIN at once
+MAX_FOUND_SEEDS = 64  # discovered seed addresses, in addition to the configured ones
 
 
 class Protocol:
-    """One member. It owns its view, its suspicions and its probes; a restart loses all of them, and the
-    others give the view back."""
+    """One member. Owns its view, its suspicions and its probes; a restart loses all of them, and the other
+    members send the view again."""
 
     def __init__(
         self,
@@ -50,9 +51,9 @@
         seed: int,
         nonvoters: bool = True,
     ) -> None:
-        """``voter_sets``: ours, then those before it that others may still go by. ``seed_addresses``:
-        addresses to join by. ``nonvoters``: whether members outside the rosters are taken (they
-        never count)."""
+        """``voter_sets``: the current one, then previous ones that others may still use. ``seed_addresses``:
+        addresses to join through. ``nonvoters``: whether members outside the voter sets are accepted (they
+        never count towards a quorum)."""
         self.timing, self.group = timing, group_of(group)
         self.health = LocalHealth()
         self.damping = Damping()
@@ -78,17 +79,17 @@
         self._probes: dict[int, Probe] = {}
         self._relayed: dict[int, Relayed] = {}
         self._suspects = Suspects(timing, self.view, self._timers, self._outbox, self._suspicion_expired)
-        self._last_received: dict[str, datetime] = {}  # of the rosters, at first hand, the latest last
+        self._last_received: dict[str, datetime] = {}  # of voters, directly received only; the latest last
         self._joined = self._has_contact = False
-        self._quorum_stale = True  # what the standing goes by has changed
+        self._quorum_stale = True  # the inputs of the quorum state have changed
         self._periods = 0
         self._gossiping = False
         self._anti_entropy = AntiEntropy(self.view, self._outbox, self._dissemination, self._rng)
 
-    # --- what the owner calls ---
+    # --- called by the owner ---
 
     def start(self, now: datetime) -> list[Output]:
-        """Begin: ask who is there, and probe from now on, out of step with the others."""
+        """Join the group and start probing, at a random offset from the other members."""
         self._publish_own(now, self.me)
         self._join(now)
         self._timers.schedule(now + self.timing.interval * self._rng.random(), self._probe_period)
@@ -96,7 +97,7 @@
         return self._collect_outputs()
 
     def datagram_received(self, now: datetime, source: Address, data: bytes) -> list[Output]:
-        """A datagram has come. What cannot be taken gets a counter (``members.dropped.*``), nothing else."""
+        """Handle a datagram. One that is rejected is only counted (``members.dropped.*``)."""
         self._compensate_stall(now)
         try:
             message = read(self.group, data)
@@ -109,19 +110,19 @@
         return self._collect_outputs()
 
     def wake(self, now: datetime) -> list[Output]:
-        """``due_at`` has come."""
+        """Run the timers that are due."""
         self._compensate_stall(now)
         self._timers.run(now)
         return self._collect_outputs()
 
     def observe(self, now: datetime, observation: Observation) -> list[Output]:
-        """We saw this of a call server ourselves, just now: tell the others."""
+        """Record an observation of a call server that this member just made, and gossip it."""
         self.observation_gossip.observe(now, observation)
         self._schedule_gossip(now)
         return self._collect_outputs()
 
     def seeds_found(self, now: datetime, found: Iterable[Address]) -> list[Output]:
-        """Addresses to join by, beside those of the settings; they take the place of those found before."""
+        """Replace the discovered seed addresses, which are used in addition to the configured ones."""
         self._found_seeds = tuple(
             seed_address for seed_address in dict.fromkeys(found) if seed_address != self.me.address
         )[:MAX_FOUND_SEEDS]
@@ -131,11 +132,11 @@
 
     @property
     def due_at(self) -> datetime | None:
-        """When ``wake`` is to be called."""
+        """When ``wake`` must be called next."""
         return self._timers.next_at
 
     def leave(self, now: datetime) -> list[Output]:
-        """Say that we go, for good: nobody has to find out. What comes after it is answered no more."""
+        """Announce that this member leaves, so that no one has to detect it; it answers nothing more."""
         self.left = True
         self._publish_own(now, replace(self.me, incarnation=self.me.incarnation + 1, state=State.LEFT))
         self._gossip_to(self.view.present.draw(self._rng, 2 * self.timing.fanout))
@@ -143,17 +144,17 @@
 
     @property
     def alive(self) -> int:
-        """How many are alive as we see it, ourselves included; a suspected one may be, and counts."""
+        """The number of members in the view that are alive or suspected, including this one."""
         return len(self.view.present) + 1
 
     @property
     def pending_updates(self) -> int:
-        """How much is still to be passed on: records of members and words of call servers."""
+        """The number of member records and call server observations still to be gossiped."""
         return len(self._dissemination) + len(self.observation_gossip)
 
     @property
     def me(self) -> Record:
-        """What we say of ourselves."""
+        """The record that this member publishes of itself."""
         return self._outbox.me
 
     def _publish_own(self, now: datetime, me: Record) -> None:
@@ -162,7 +163,7 @@
         self._dissemination.put(me)
         self._schedule_gossip(now)
 
-    # --- what has come ---
+    # --- received messages ---
 
     def _is_acceptable(self, message: Message, source: Address) -> bool:
         sender = message.sender
@@ -170,7 +171,7 @@
         if self.left:
             reason = "left"
         elif sender.name == self.me.name:
-            reason = "own_name"  # of a life before this one, or a second process under our name
+            reason = "own_name"  # from a previous process, or a second process that uses our name
         elif sender.address != source:
             reason = "source"
         elif not self._nonvoters and sender.name not in self._voter_names:
@@ -188,7 +189,7 @@
             self._last_received.pop(sender.name, None)
             self._last_received[sender.name] = now
             self._update_contact()
-        # A page of a table tells a newcomer what all others know: it passes on what was other news to it.
+        # A newcomer gets STATE pages of what all others know: it only gossips updates of members it knew.
         page = message.kind == Kind.STATE
         for record in message.records:
             if record.name == self.me.name:
@@ -215,14 +216,14 @@
             case Kind.OBSERVATIONS:
                 self._receive_observations(now, message)
             case Kind.STATE | Kind.GOSSIP:
-                pass  # their records were all
+                pass  # they carry nothing but records
             case _:
-                COUNTERS.add("members.kind_unknown")  # of a later version that we may read
+                COUNTERS.add("members.kind_unknown")  # from a later, compatible version
                 return
         self._anti_entropy.compare_digest(message)
 
     def _merge(self, now: datetime, record: Record, pass_on: bool = True) -> None:
-        """Merge one claim about another member, and do what follows from it."""
+        """Merge one claim about another member and act on the change."""
         known = self.view.get(record.name)
         change = self.view.merge(now, record)
         if change is None:
@@ -245,7 +246,7 @@
             return
         name = new.name
         if new.present and (old is None or not old.present):
-            self._probe_round.add(name)
+            self._probe_round.include(name)
         if old is not None and old.state is State.DEAD and new.present:
             COUNTERS.add("members.came_back")
             if self.damping.penalize(now, name):
@@ -261,7 +262,7 @@
             COUNTERS.add("members.dead")
 
     def _handle_own_claim(self, now: datetime, record: Record) -> None:
-        """Somebody claims something of us. Where it would win over what we say, we raise our incarnation."""
+        """Refute a claim about this member that outranks its own record, by raising the incarnation."""
         if record.rank <= self.me.rank or self.left:
             return
         if not self.view.is_plausible(record):
@@ -271,13 +272,13 @@
             self.health.degrade()
             COUNTERS.add("members.refuted")
         elif record.boot_id != self.me.boot_id and self._joined:
-            COUNTERS.add("members.twin")  # a process before us would have been met while we joined
+            COUNTERS.add("members.twin")  # records of a previous process would have been seen while joining
         self._publish_own(now, replace(self.me, incarnation=record.incarnation + 1))
 
     # --- probes ---
 
     def _probe_period(self, now: datetime) -> None:
-        """Once an interval, longer where we do badly: probe the next, at times one that is dead."""
+        """Probe the next member, at times also a dead one. Runs once per interval, scaled by local health."""
         self._periods += 1
         self._anti_entropy.begin_period()
         self._timers.schedule(now + self.health.scaled(self.timing.interval), self._probe_period)
@@ -290,7 +291,7 @@
             self._probe(now, self.view.dead.draw(self._rng, 1)[0])
 
     def _sweep(self, now: datetime) -> None:
-        """Once an interval, however we do: whom we heard of late, what is forgotten, who is damped."""
+        """Expire contacts, observations, records and damping. Runs once per interval, unscaled."""
         self._timers.schedule(now + self.timing.interval, self._sweep)
         while (
             self._last_received
@@ -324,10 +325,9 @@
         probe.timers.append(self._timers.schedule(now + end, lambda now: self._probe_failed(now, probe)))
 
     def _retry_probe(self, probe: Probe) -> None:
-        """No answer yet: ask once more, ourselves and by others, the same ones each time.
+        """Ping again, directly and through relays, the same relays at each retry.
 
-        Where datagrams get lost, each further time makes failed probes rarer by more than half; where none
-        do, there is none.
+        Under packet loss, each retry more than halves the failed probes; without loss, no retries occur.
         """
         target = self.view.get(probe.name)
         if probe.target_dead or target is None:
@@ -370,7 +370,7 @@
         if probe.target_dead:
             return
         COUNTERS.add("members.probes_failed")
-        # Where relays say that they had no answer either, it is not us who hear nothing.
+        # A NACK from a relay shows that our own connectivity works: only missing NACKs count against us.
         self.health.degrade(len(probe.awaited_nacks) if probe.relays else 1)
         known = self.view.get(probe.name)
         if known is None or known.incarnation != probe.incarnation or not known.present:
@@ -382,7 +382,7 @@
         return self._seq
 
     def _suspicion_expired(self, now: datetime, record: Record) -> None:
-        """A suspicion has come to its end, and the member itself has not answered."""
+        """Declare a member dead whose suspicion timed out and that did not answer the final checks."""
         self._merge(now, record.as_state(State.DEAD))
 
     def _end_probe(self, probe: Probe) -> None:
@@ -391,7 +391,7 @@
             timer.cancel()
 
     def _relay_probe(self, now: datetime, message: Message) -> None:
-        """Probe one for another member, which could not reach it."""
+        """Probe a member on behalf of another one that got no answer from it."""
         target = self.view.get(message.target)
         requester = message.sender
         if target is None or len(self._relayed) >= MAX_RELAYED:
@@ -409,10 +409,10 @@
         self._outbox.send(Kind.PING, target, seq=seq, target=target.name)
 
     def _compensate_stall(self, now: datetime) -> None:
-        """Woken much later than we asked to be, we were away: nobody else was.
+        """Detect that this process was stalled: it was woken much later than scheduled.
 
-        Without it a process that was stopped finds, on its way back, every probe unanswered and every
-        suspicion at its end, and tells all others that they are dead.
+        Without this, a process that resumes after a stop would find every probe unanswered and every
+        suspicion expired, and would declare all other members dead.
         """
         due = self.due_at
         late_by = now - due if due is not None else timedelta(0)
@@ -423,22 +423,22 @@
         for probe in list(self._probes.values()):
             self._end_probe(probe)
         self._suspects.extend(late_by)
-        self._timers.run(now)  # so that what comes next finds us on time
+        self._timers.run(now)  # so that the next call does not count the same delay again
 
-    # --- joining, repair ---
+    # --- joining, anti-entropy ---
 
     def _join(self, now: datetime) -> None:
-        """Ask some of the ways in who is there, until enough have answered."""
+        """Send a JOIN to a random selection of the seeds; repeated until there is contact."""
         known = list(dict.fromkeys(self._seed_addresses + self._found_seeds))
         for seed_address in self._rng.sample(known, min(JOIN_FANOUT, len(known))):
             self._outbox.send_to(Kind.JOIN, seed_address)
         self._update_contact()
 
     def _update_contact(self) -> None:
-        """Whether enough others were heard of late, by ourselves; from the first time on we have joined.
+        """Check whether enough voters were received from recently; the first time, this member has joined.
 
-        Suspicions take their time, and the longer the worse we do, as a member that is cut off does: until
-        then its table shows a majority that it has lost.
+        Suspicions take long to expire, and longer with poor local health, which a member that is cut off
+        has: until then its view shows a majority that it no longer reaches.
         """
         has_contact = len(self._last_received) >= min(MIN_CONTACTS, self.quorum.current.majority - 1)
         if has_contact != self._has_contact:
@@ -446,7 +446,7 @@
             self._joined = self._joined or has_contact
 
     def _send_state(self, now: datetime, sender: Record) -> None:
-        """Some of the table to a newcomer, drawn at random: several are asked, and repair brings the rest."""
+        """Send a random part of the view to a newcomer; other members and anti-entropy add the rest."""
         names = self.view.present.draw(self._rng, len(self.view.present), exclude=sender.name)
         known = [record for name in names if (record := self.view.get(name)) is not None]
         self._outbox.send_pages(sender, known)
@@ -456,7 +456,7 @@
                 observations = observations[max(1, self._outbox.send_observations(sender, observations)) :]
 
     def _receive_observations(self, now: datetime, message: Message) -> None:
-        """From members that count alone: a guest's word keeps no call server from being used."""
+        """Accept observations from voters only: a nonvoter must not keep a call server from being used."""
         if message.sender.name not in self._voter_names:
             COUNTERS.add("members.facts_refused", len(message.observations))
             return
--- a/reedmount/members/record.py
+++ b/reedmount/members/record.py
@@ -1,4 +1,4 @@
-"""What is claimed of one member, and which of two claims wins."""
+"""Records: claims about one member, and the order that decides which of two claims wins."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 MAX_NAME = 24  # bytes of a member's name
 MAX_ZONE = 12
-UINT32_MAX = 2**32 - 1  # incarnations, lives, rosters and builds are words of 32 bits
-BUCKETS = 32  # by name, in the digest of a table
+UINT32_MAX = 2**32 - 1  # incarnations, boot, voter set and build ids have 32 bits
+BUCKETS = 32  # of names, in the digest of a view
 
 Word = Annotated[int, Meta(ge=0, le=UINT32_MAX)]
 
 
 class State(IntEnum):
-    """What a member is claimed to be; of claims with one incarnation the greater state wins."""
+    """The claimed state of a member; among claims of one incarnation, the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -31,27 +31,27 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One claim about one member, as it travels. Fields are only ever added at the end, with a default."""
+    """One claim about one member, as sent. New fields may only be added at the end, with a default."""
 
     name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
     host: Annotated[bytes, Meta(min_length=4, max_length=16)]  # an IPv4 or IPv6 address
     port: Annotated[int, Meta(ge=1, le=65535)]
-    incarnation: Word  # raised by the member alone
-    boot_id: Word  # drawn by each process at its start
+    incarnation: Word  # raised only by the member itself
+    boot_id: Word  # random, drawn by each process at its start
     state: State
-    voters_id: Word = 0  # the id of the roster that it goes by
+    voters_id: Word = 0  # the id of the voter set that it uses
     zone: Annotated[str, Meta(max_length=MAX_ZONE)] = ""
-    build: Word = 0  # the identity of its program and settings
-    by: Annotated[str, Meta(max_length=MAX_NAME)] = ""  # of a suspicion: who says so; no part of the claim
+    build: Word = 0  # identifies its program and settings
+    by: Annotated[str, Meta(max_length=MAX_NAME)] = ""  # of a suspicion: the accuser; not part of the claim
 
     @property
     def address(self) -> Address:
-        """Where its datagrams go and come from."""
+        """The address that it sends from and receives at."""
         return str(ipaddress.ip_address(self.host)), self.port
 
     @property
     def rank(self) -> tuple[int, State, int, bytes, int, int, str, int]:
-        """Total on the claims of one name: the greater wins, so that all tables come to the same."""
+        """A total order on the claims about one name: the greater wins, so that all views converge."""
         return (
             self.incarnation, self.state, self.boot_id, self.host, self.port, self.voters_id, self.zone,
             self.build,
@@ -59,14 +59,14 @@
 
     @property
     def present(self) -> bool:
-        """Whether it is taken for running: it is probed, and counts as seen."""
+        """Whether it counts as running, and is probed: alive or suspected."""
         return self.state <= State.SUSPECT
 
     @property
     def digest(self) -> int:
-        """64 bits of the claim, where a suspicion counts as alive: it is on its way to one or the other.
+        """A 64-bit digest of the claim. A suspected member digests as alive, since suspicions are transient.
 
-        What is gone counts as nothing, lest one table that has forgotten it and one that has not differ.
+        A member that is dead or left digests as 0, so that views with and without its record are equal.
         """
         if not self.present:
             return 0
@@ -74,15 +74,15 @@
         return int.from_bytes(blake2b(msgspec.msgpack.encode(plain), digest_size=8).digest(), "big")
 
     def as_state(self, state: State, by: str = "") -> Record:
-        """The same member, incarnation and life in another state."""
+        """The same member, incarnation and process in another state."""
         return msgspec.structs.replace(self, state=state, by=by)
 
 
 def record_of(
     name: str, address: Address, boot_id: int, voters_id: int = 0, zone: str = "", build: int = 0
 ) -> Record:
-    """A member as it begins: alive, incarnation 0. Raises ValueError where the address is no IP address, or
-    a field does not fit: datagrams hold 256 bytes."""
+    """The first record of a member: alive, incarnation 0. Raises ValueError if the address is no IP address
+    or a field is too long for a 256-byte datagram."""
     if not 1 <= len(name.encode()) <= MAX_NAME or not name.isascii():
         raise ValueError(f"a member's name is 1 to {MAX_NAME} ASCII characters: {name!r}")
     if len(zone.encode()) > MAX_ZONE:
@@ -92,5 +92,5 @@
 
 
 def bucket_of(name: str) -> int:
-    """The bucket of the table's digest that a name counts in."""
+    """The bucket of the view's digest that a name belongs to."""
     return zlib.crc32(name.encode()) % BUCKETS
--- a/reedmount/members/server_reports.py
+++ b/reedmount/members/server_reports.py
@@ -1,13 +1,13 @@
-"""What follows from what other members saw of call servers: whom to hold back, whom to take for cold. Pure.
+"""Evaluates other members' observations of call servers: which servers to hold back, which to treat as cold.
 
-Each member decides by its own sources which call servers it uses; hearsay never adds one. It can only make us
-more careful, for a while: a drain or removal that another member saw holds new work back for ``bound``, in
-which our own sources say so too or not, and a start that another saw paces the server as one that is cold.
+Each member decides by its own sources which call servers it uses; reports of others never add one. They only
+cause temporary caution: a drain or removal that another member saw holds back new work for ``max_hold``, time
+for our own sources to confirm it or not, and a start that another member saw paces the server as a cold one.
 
-A member that is wrong must not be able to take the call servers away from all others. So at most half of
-those that our own sources call serving are held back, and half are paced, by hearsay: whom most members saw
-first, then whom they saw last. Whose word is again and again not borne out is not taken for a while (RFC
-2439's damping).
+A faulty member must not be able to take the call servers away from all others. Therefore reports hold back at
+most half of the servers that our own sources call serving, and pace at most half: those with the most
+observers first, then those observed last. A member whose reports repeatedly turn out wrong is ignored for a
+while (damping as in RFC 2439).
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from reedmount.members.damping import Damping
 from reedmount.members.knowledge import HOLD_TIME, Knowledge, StoredObservation
 
-LONGEST_HOLD = timedelta(seconds=60)  # what is older is not known any more
-SHARE_DIVISOR = 2  # of the servers that serve one in so many may be held back, and one in so many paced
+LONGEST_HOLD = timedelta(seconds=60)  # older observations are no longer stored
+SHARE_DIVISOR = 2  # at most 1/SHARE_DIVISOR of the serving servers are held back, and as many paced
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,30 +29,30 @@
     """A server that is held back."""
 
     until: datetime
-    by: tuple[str, ...]  # who saw that it drains or is gone
+    by: tuple[str, ...]  # observers of the drain or removal
 
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """What holds now, by server."""
+    """The current holds and starts, by server."""
 
     held: dict[str, Hold] = field(default_factory=dict)
     starts: dict[str, datetime] = field(default_factory=dict)
-    reevaluate_at: datetime | None = None  # when to look again, if nothing comes before
+    reevaluate_at: datetime | None = None  # when to evaluate again, unless a report arrives before
 
 
 class ReportEvaluator:
-    """What follows from hearsay; it owns the holds that run and the marks of those that were wrong."""
+    """Evaluates the reports; owns the current holds and the penalties of members that were wrong."""
 
     def __init__(self, knowledge: Knowledge, cold: timedelta, max_hold: timedelta = HOLD_TIME) -> None:
-        """``cold``: how long a server that has started is cold; ``bound``: the longest hold, 0 to 60 s."""
+        """``cold``: how long a server that has started is cold; ``max_hold``: the longest hold, 0 to 60 s."""
         self._knowledge, self._cold = knowledge, cold
         self.max_hold = min(max_hold, LONGEST_HOLD)
         self.doubted = Damping()
         self.evaluation = Evaluation()
 
     def evaluate(self, now: datetime, serving: Callable[[str], bool], count: int) -> Evaluation:
-        """Decide anew. ``serving`` says whether our own sources have a server in service, ``count`` how many
+        """Evaluate again. ``serving``: whether our own sources have a server in service; ``count``: how many
         they have."""
         self.doubted.sweep(now)
         limit = count // SHARE_DIVISOR
@@ -88,14 +88,14 @@
         latest = max((stored.started for stored in observations if stored.started is not None), default=None)
         running = self.evaluation.starts.get(server)
         if running is not None and (latest is None or latest <= running + self.max_hold):
-            latest = running  # sources see one start up to that much later than others: no second one
+            latest = running  # sources differ by up to that much on one start: this is no second one
         return latest if latest is not None and latest + self._cold > now else None
 
     def _limit_holds(self, limit: int, held: dict[str, Hold]) -> dict[str, Hold]:
         if len(held) <= limit:
             return held
         COUNTERS.add("hearsay.over_bound", len(held) - limit)
-        # Who is held back already goes first: else two that are level would change places at each look.
+        # Current holds go first: otherwise servers of equal rank would alternate at each evaluation.
         running = self.evaluation.held
         order = sorted(
             held, key=lambda name: (len(held[name].by), name in running, held[name].until), reverse=True
@@ -105,7 +105,7 @@
     def _score_ended_holds(
         self, now: datetime, serving: Callable[[str], bool], held: dict[str, Hold]
     ) -> None:
-        """Holds that have ended: borne out by our own sources, taken back, or nothing of it came true."""
+        """Count ended holds as confirmed by our own sources or not; penalize observers of the latter."""
         for server, hold in self.evaluation.held.items():
             if server in held:
                 continue
--- a/reedmount/members/suspects.py
+++ b/reedmount/members/suspects.py
@@ -1,4 +1,4 @@
-"""Whom we suspect: how long, who else does, and that nobody is called dead who was not asked just before."""
+"""Running suspicions: their timers and confirmations, and final checks before a member is declared dead."""
 
 from __future__ import annotations
 
@@ -14,13 +14,11 @@
 from reedmount.members.view import View
 from reedmount.members.wire import Kind
 
-FINAL_CHECK_SEQ = (
-    0  # the number of what is asked of a suspected member before its death, outside of all probes
-)
+FINAL_CHECK_SEQ = 0  # sequence number of final checks; never used for probes
 
 
 class Suspects:
-    """The suspicions that run, one a member; the view's record of it is a suspicion as long as it is here."""
+    """The running suspicions, one per member; each lasts as long as the view has the member as suspected."""
 
     def __init__(
         self,
@@ -30,7 +28,7 @@
         outbox: Outbox,
         on_expired: Callable[[datetime, Record], None],
     ) -> None:
-        """``dead`` hears of each whose time is up, with the record that was suspected."""
+        """``on_expired`` is called with the suspected record when its time is up."""
         self._timing, self._view, self._timers, self._outbox, self._on_expired = (
             timing,
             view,
@@ -41,7 +39,7 @@
         self._running: dict[str, Suspicion] = {}
 
     def begin(self, now: datetime, record: Record) -> None:
-        """This member is suspected from now on, of this incarnation."""
+        """Start a suspicion of this incarnation of a member."""
         self.clear(record.name)
         members = len(self._view.present) + 1
         COUNTERS.add("members.suspected")
@@ -56,7 +54,7 @@
         self._schedule_check(now, record.name, suspicion)
 
     def confirm(self, now: datetime, record: Record) -> bool:
-        """Somebody says the same; whether that is news that others need."""
+        """Count a confirmation by another member; returns whether it should be gossiped."""
         suspicion = self._running.get(record.name)
         if suspicion is None or not suspicion.confirm(record.by):
             return False
@@ -64,22 +62,22 @@
         return True
 
     def clear(self, name: str) -> None:
-        """It is not suspected any more, or not of that."""
+        """End the suspicion of this member."""
         suspicion = self._running.pop(name, None)
         if suspicion is not None and suspicion.timer is not None:
             suspicion.timer.cancel()
 
     def extend(self, span: timedelta) -> None:
-        """We were away for that long."""
+        """Extend all suspicions by the time that this process was stalled."""
         for suspicion in self._running.values():
             suspicion.extend(span)
 
     def _schedule_check(self, now: datetime, name: str, suspicion: Suspicion) -> None:
-        """Look at it when its end nears: then we ask the member ourselves some times, and wait for its end.
+        """Schedule the final checks near the end of the suspicion, then the end itself.
 
-        Its refutation may have been lost on all ways to us, and gossip cannot say everything where much is
-        lost: whoever calls another dead has asked it just before, and had no answer. An answer brings a
-        greater record, which ends the suspicion.
+        Under heavy loss, the refutation may have been lost on every path to us: a member is declared dead
+        only after it was pinged directly and did not answer. An answer carries a greater record, which ends
+        the suspicion.
         """
         if suspicion.timer is not None:
             suspicion.timer.cancel()
@@ -107,4 +105,4 @@
         elif now >= suspicion.ends_at:
             self._on_expired(now, known)
             return
-        self._schedule_check(now, name, suspicion)  # it was extended meanwhile, or its end is not there yet
+        self._schedule_check(now, name, suspicion)  # it was extended, or has not ended yet
--- a/reedmount/members/suspicion.py
+++ b/reedmount/members/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a member may stay suspected: Lifeguard's timeout, shorter the more members suspect it too."""
+"""Lifeguard's suspicion timeout, which shrinks with the number of members that confirm the suspicion."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Suspicion:
-    """One suspicion of one incarnation, as one member sees it.
+    """A suspicion of one incarnation of a member.
 
-    It begins with the longest span, since a suspicion that nobody shares may be our own fault, and comes
-    down to the shortest with ``wanted`` others that say the same. Where nobody else could confirm, it
-    starts at the shortest.
+    It starts with the longest span, since a suspicion that no one shares may be our own fault, and shrinks to
+    the shortest with ``confirmations`` other accusers. If no other member could confirm it, it starts with
+    the shortest.
     """
 
     def __init__(
@@ -28,24 +28,24 @@
         self.began, self._shortest, self._longest = began, shortest, longest
         self._confirmations = min(confirmations, max(0, others - 1))
         self._by = {by}
-        self.final_checks = 0  # how often we asked the member itself, its end being near
-        self.timer: ScheduledTask | None = None  # the next look at it
+        self.final_checks = 0  # pings sent to the member near the end
+        self.timer: ScheduledTask | None = None  # the next check
 
     def confirm(self, by: str) -> bool:
-        """Another member says the same; whether that is news that others need (the first few are)."""
+        """Count another accuser; returns whether to gossip it: the first few ones are."""
         if by in self._by or not by or len(self._by) > self._confirmations:
             return False
         self._by.add(by)
         return True
 
     def extend(self, span: timedelta) -> None:
-        """We were away for that long: it had no chance to be refuted to us, nor to answer us."""
+        """Extend it after a stall, in which neither a refutation nor an answer could reach us."""
         self.began += span
         self.final_checks = 0
 
     @property
     def ends_at(self) -> datetime:
-        """When it is taken for dead, as things stand."""
+        """When the member is declared dead, given the current confirmations."""
         if self._confirmations < 1:
             return self.began + self._shortest
         share = math.log(len(self._by)) / math.log(self._confirmations + 1)
--- a/reedmount/members/timer_queue.py
+++ b/reedmount/members/timer_queue.py
@@ -1,4 +1,4 @@
-"""What is due when, inside a state machine without I/O: a heap that its owner asks for the next instant."""
+"""Timers of a state machine without I/O: a heap whose owner asks for the next instant."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ScheduledTask:
-    """One piece of work at an instant, unless it is cancelled before."""
+    """A callback scheduled for an instant, unless it is cancelled before."""
 
     __slots__ = ("at", "cancelled", "order", "callback")
 
@@ -18,23 +18,23 @@
         self.at, self.order, self.callback, self.cancelled = at, order, callback, False
 
     def __lt__(self, other: ScheduledTask) -> bool:
-        """The earlier first; of one instant, the one set first."""
+        """Orders by instant, then by the order of scheduling."""
         return (self.at, self.order) < (other.at, other.order)
 
     def cancel(self) -> None:
-        """Don't do it."""
+        """Prevent the callback from running."""
         self.cancelled = True
 
 
 class TimerQueue:
-    """All that is due. Work that is due sets new work; ``run`` does what has come by then."""
+    """Scheduled tasks, run by ``run``; callbacks may schedule further ones."""
 
     def __init__(self) -> None:
         self._heap: list[ScheduledTask] = []
         self._order = 0
 
     def schedule(self, instant: datetime, callback: Callback) -> ScheduledTask:
-        """Do it then."""
+        """Schedule a callback for an instant."""
         self._order += 1
         task = ScheduledTask(instant, self._order, callback)
         heapq.heappush(self._heap, task)
@@ -42,12 +42,12 @@
 
     @property
     def next_at(self) -> datetime | None:
-        """When the first is due; None where there is none."""
+        """The instant of the first task; None without tasks."""
         while self._heap and self._heap[0].cancelled:
             heapq.heappop(self._heap)
         return self._heap[0].at if self._heap else None
 
     def run(self, now: datetime) -> None:
-        """Do what is due."""
+        """Run all tasks that are due."""
         while (at := self.next_at) is not None and at <= now:
             heapq.heappop(self._heap).callback(now)
--- a/reedmount/members/view.py
+++ b/reedmount/members/view.py
@@ -1,4 +1,4 @@
-"""The table of members: the greatest claim of each name, digests of the whole, bounds and forgetting."""
+"""The view: the greatest claim about each member, with digests, bounds and expiry."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from reedmount.members.record import BUCKETS, Record, State, bucket_of
 
 MAX_RECORDS = 4096
-MAX_INCARNATION_JUMP = 1 << 20  # of an incarnation over what is known: a lie that leaves no room to refute it
+MAX_INCARNATION_JUMP = 1 << 20  # over the known incarnation: a greater one would leave no room to refute it
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What has become of one member; None: it was not known, or it is not known any more."""
+    """A change of one member's record; None means that it was not known, or was removed."""
 
     old: Record | None
     new: Record | None
 
     @property
     def name(self) -> str:
-        """Whose."""
+        """The member's name."""
         found = self.new or self.old
         return found.name if found is not None else ""
 
@@ -35,25 +35,25 @@
         self._positions: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """How many."""
+        """The number of names."""
         return len(self._list)
 
     def __contains__(self, name: object) -> bool:
-        """Whether this one is among them."""
+        """Whether the set contains this name."""
         return name in self._positions
 
     def __iter__(self) -> Iterator[str]:
-        """In no order that means anything."""
+        """Iterates in arbitrary order."""
         return iter(self._list)
 
     def add(self, name: str) -> None:
-        """Take it in."""
+        """Add a name."""
         if name not in self._positions:
             self._positions[name] = len(self._list)
             self._list.append(name)
 
     def discard(self, name: str) -> None:
-        """Let it go; the last one takes its place."""
+        """Remove a name; the last one moves to its position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -62,49 +62,49 @@
             self._list[position], self._positions[last] = last, position
 
     def draw(self, rng: random.Random, count: int, exclude: str = "") -> list[str]:
-        """So many different ones, or all that there are, in random order."""
+        """Up to ``count`` distinct names other than ``exclude``, in random order."""
         drawn = rng.sample(self._list, min(len(self._list), count + 1))
         return [name for name in drawn if name != exclude][:count]
 
 
 class View:
-    """What is known of all members, ourselves among them.
+    """The known records of all members, including our own.
 
-    ``version`` rises with each change, here alone; ``digest`` says whether two tables are equal, wherever.
+    ``version`` is local and rises with each change; ``digest`` is equal for equal views on any member.
     """
 
     def __init__(self, me: str, voter_names: frozenset[str], retention: timedelta) -> None:
         self._me = me
-        self.voter_names = voter_names  # of the roster: never forgotten
+        self.voter_names = voter_names  # never expired
         self.version = 0
         self.digest = 0
         self.buckets = [0] * BUCKETS
         self.present = NameSet()  # alive or suspected
-        self.dead = NameSet()  # called dead, which may be a cut
+        self.dead = NameSet()  # declared dead, possibly because of a partition
         self._retention = retention
         self._records: dict[str, Record] = {}
         self._names: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self._ended_at: dict[str, datetime] = {}  # dead or left, the oldest first
+        self._ended_at: dict[str, datetime] = {}  # when nonvoters became dead or left, the oldest first
 
     def __len__(self) -> int:
-        """How many records."""
+        """The number of records."""
         return len(self._records)
 
     def __iter__(self) -> Iterator[Record]:
-        """All records."""
+        """Iterates over all records."""
         return iter(self._records.values())
 
     def get(self, name: str) -> Record | None:
-        """The greatest claim."""
+        """The greatest claim about a member."""
         return self._records.get(name)
 
     def is_plausible(self, record: Record) -> bool:
-        """Whether its incarnation leaves the member room to refute it."""
+        """Whether the incarnation is small enough for the member to refute the claim."""
         known = self._records.get(record.name)
         return record.incarnation <= (known.incarnation if known is not None else 0) + MAX_INCARNATION_JUMP
 
     def merge(self, now: datetime, record: Record) -> Change | None:
-        """Merge one claim; what it changed, if it won. None too where the table is full of others."""
+        """Merge one claim; returns the change, or None if it lost or the view is full."""
         old = self._records.get(record.name)
         if old is not None and record.rank <= old.rank:
             return None
@@ -119,7 +119,7 @@
         return Change(old, record)
 
     def expire(self, now: datetime) -> list[Change]:
-        """Let go of those that are gone for long; looks at no more than it lets go of."""
+        """Remove records whose retention has ended; takes time only for those removed."""
         changes = []
         while self._ended_at:
             name, since = next(iter(self._ended_at.items()))
@@ -129,7 +129,7 @@
         return changes
 
     def differing_buckets(self, buckets: list[int]) -> list[int]:
-        """Which buckets are others than these."""
+        """The indexes of the buckets whose digests differ from these."""
         digests = [bucket & 0xFFFFFFFF for bucket in self.buckets]
         return [
             position
@@ -138,7 +138,7 @@
         ]
 
     def bucket_records(self, bucket: int) -> list[Record]:
-        """The records of a bucket, those that are gone as well."""
+        """All records of a bucket, including dead and left members."""
         return [self._records[name] for name in sorted(self._names[bucket])]
 
     def _toggle_digest(self, record: Record | None) -> None:
@@ -153,7 +153,7 @@
         self.dead.discard(name)
         self._ended_at.pop(name, None)
         if name == self._me:
-            return  # we neither probe nor forget ourselves
+            return  # our own record is neither probed nor expired
         if record.present:
             self.present.add(name)
             return
--- a/reedmount/members/wire.py
+++ b/reedmount/members/wire.py
@@ -1,10 +1,10 @@
-"""Datagrams between members: 256 bytes at most, versioned, checked; each fault has a reason to count.
+"""Datagrams between members: at most 256 bytes, versioned, with a checksum; each fault has a counted reason.
 
-    magic 2 | version 1 | oldest version that reads it 1 | group 4 | CRC-32 4 | message in MessagePack
+    magic 2 | version 1 | oldest version that can read it 1 | group 4 | CRC-32 4 | message in MessagePack
 
-Messages and records are arrays to which later versions add at the end: a reader skips what it does not know,
-so a member reads versions before its own, and later ones that say so. The checksum tells a datagram that was
-cut or changed from a sound one; it is no signature.
+Messages and records are arrays that later versions extend at the end, and readers ignore unknown elements. So
+a member reads earlier versions and those later ones that declare it. The checksum detects truncated or
+corrupted datagrams; it is not a signature.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from reedmount.members.knowledge import Observation
 from reedmount.members.record import BUCKETS, MAX_NAME, UINT32_MAX, Record, Word
 
-MAX_DATAGRAM = 256  # bytes; a longer one voids a run on the platform
+MAX_DATAGRAM = 256  # bytes; a longer datagram invalidates a run on the platform
 MAGIC = b"RM"
-VERSION = 1  # what we write
+VERSION = 1  # of datagrams that we write
 OLDEST_READER = 1  # the oldest version that can read what we write
 HEADER = struct.Struct(">2sBBII")
 BUCKET_BYTES = 4
-MAX_RECORDS = 32  # in one datagram, whatever its length says
+MAX_RECORDS = 32  # in one datagram, whatever fits
 MAX_OBSERVATIONS = 16
 
 
 class WireError(Exception):
-    """A datagram that is not taken; ``reason`` names the counter."""
+    """A datagram that is rejected; ``reason`` names the counter."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -40,27 +40,27 @@
 
 
 class Kind(IntEnum):
-    """What a datagram is for."""
+    """The kind of a datagram."""
 
-    PING = 0  # answer me
+    PING = 0  # requests an ACK
     ACK = 1  # ``target`` has answered
-    RELAY = 2  # ping ``target`` for me
-    NACK = 3  # I had no answer either
-    GOSSIP = 4  # news alone
-    JOIN = 5  # I am new: tell me who is there
-    STATE = 6  # records of what you lack
-    BUCKETS = 7  # digests of my table; ``seq`` 1 asks for yours
-    OBSERVATIONS = 8  # what was seen of call servers
+    RELAY = 2  # requests a probe of ``target``
+    NACK = 3  # a relay got no answer
+    GOSSIP = 4  # updates only
+    JOIN = 5  # from a newcomer: requests the view
+    STATE = 6  # records that the receiver lacks
+    BUCKETS = 7  # digests of the sender's view; ``seq`` 1 requests the receiver's
+    OBSERVATIONS = 8  # of call servers
     UNKNOWN = 255
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram's contents."""
+    """The contents of one datagram."""
 
     kind: Annotated[int, Meta(ge=0, le=255)]
     seq: Word
     sender: Record
-    digest: Annotated[bytes, Meta(min_length=8, max_length=8)]  # of the sender's table
+    digest: Annotated[bytes, Meta(min_length=8, max_length=8)]  # of the sender's view
     target: Annotated[str, Meta(max_length=MAX_NAME)] = ""
     buckets: Annotated[bytes, Meta(max_length=BUCKETS * BUCKET_BYTES)] = b""
     records: Annotated[list[Record], Meta(max_length=MAX_RECORDS)] = []
@@ -68,7 +68,7 @@
 
 
 class _EncodableMessage(msgspec.Struct, array_like=True):
-    """A message whose records and facts are encoded already."""
+    """A message whose records and observations are already encoded."""
 
     kind: int
     seq: int
@@ -85,7 +85,7 @@
 
 
 def group_of(name: str) -> int:
-    """The id of a fleet: datagrams of another are not taken."""
+    """The id of a group: datagrams of other groups are rejected."""
     return zlib.crc32(name.encode()) & UINT32_MAX
 
 
@@ -95,7 +95,7 @@
 
 
 def write(group: int, message: Message, records: Iterable[Record] = ()) -> tuple[bytes, int]:
-    """A datagram with as many of these records, in their order, as have room; how many these were."""
+    """Encode a datagram with as many of these records, in order, as fit; returns it and their number."""
     out = _encodable(message)
     out.records = _fill(out, records, MAX_RECORDS)
     return _seal(group, _encode(out)), len(out.records)
@@ -104,7 +104,7 @@
 def write_observations(
     group: int, message: Message, observations: Iterable[Observation]
 ) -> tuple[bytes, int]:
-    """The same with facts."""
+    """The same with observations."""
     out = _encodable(message)
     out.observations = _fill(out, observations, MAX_OBSERVATIONS)
     return _seal(group, _encode(out)), len(out.observations)
@@ -116,7 +116,7 @@
 
 
 def _fill(out: _EncodableMessage, items: Iterable[Record | Observation], max_items: int) -> list[msgspec.Raw]:
-    remaining = MAX_DATAGRAM - HEADER.size - len(_encode(out)) - 2  # the array's head may grow by that
+    remaining = MAX_DATAGRAM - HEADER.size - len(_encode(out)) - 2  # the array's header may grow by that
     encoded: list[msgspec.Raw] = []
     for item in items:
         raw = _encode(item)
@@ -128,8 +128,8 @@
 
 
 def read(group: int, data: bytes) -> Message:
-    """The message in a datagram. Raises WireError with the reason: ``long``, ``short``, ``foreign`` (not of
-    members at all), ``newer``, ``group``, ``damaged`` or ``malformed``."""
+    """Decode a datagram. Raises WireError with the reason: ``long``, ``short``, ``foreign`` (not of this
+    protocol), ``newer``, ``group``, ``damaged`` or ``malformed``."""
     if len(data) > MAX_DATAGRAM:
         raise WireError("long")
     if len(data) < HEADER.size:
@@ -157,12 +157,12 @@
 
 
 def pack_buckets(buckets: Iterable[int]) -> bytes:
-    """The digests of a table's buckets."""
+    """Encode the digests of a view's buckets."""
     return b"".join((bucket & UINT32_MAX).to_bytes(BUCKET_BYTES, "big") for bucket in buckets)
 
 
 def unpack_buckets(data: bytes) -> list[int]:
-    """The digests again; empty where there are not as many as ours."""
+    """Decode the digests; empty if their number differs from ours."""
     if len(data) != BUCKETS * BUCKET_BYTES:
         return []
     return [
--- a/reedmount/peers/membership.py
+++ b/reedmount/peers/membership.py
@@ -84,11 +84,11 @@
         """Have somebody hear of each change of a member, and of our standing."""
         self._told.append(hear)
 
-    def on_facts(self, hear: Callable[[ObservationsReceived], None]) -> None:
+    def on_observations(self, hear: Callable[[ObservationsReceived], None]) -> None:
         """Have somebody hear of what others have seen of call servers."""
         self._of_servers.append(hear)
 
-    def saw(self, observation: Observation) -> None:
+    def observe(self, observation: Observation) -> None:
         """We saw this of a call server ourselves, just now."""
         self._do(self.protocol.observe(self._loop.clock.now(), observation))
 
--- a/reedmount/sources/member_reports.py
+++ b/reedmount/sources/member_reports.py
@@ -1,4 +1,4 @@
-"""Call servers as other members see them, brought to the pool; what our own sources say, told to others."""
+"""Exchanges call server observations with other members: reports theirs to the pool and ours to them."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
 
 
 class MemberReports:
-    """Joins the pool and the members. What to do about a word is decided in ``members/server_reports.py``."""
+    """Connects the pool with the membership. ``members/server_reports.py`` decides what a report causes."""
 
     def __init__(
         self, host: PoolHost, membership: Membership, name: str, cold: timedelta, max_hold: timedelta
     ) -> None:
-        """``name``: ours among the members; ``cold``: how long a started server is; ``bound``: of a hold."""
+        """``name``: our member name; ``cold``: how long a server is cold after its start; ``max_hold``: of a
+        server that others saw leave."""
         self._loop, self._host, self._membership, self._name = host.loop, host, membership, name
         self._evaluator = ReportEvaluator(membership.protocol.observation_gossip.knowledge, cold, max_hold)
-        self._published: dict[str, ReportedState] = {}  # of servers in the pool, as the others were told last
+        self._published: dict[str, ReportedState] = {}  # by server in the pool, as last reported
         self._evaluation_pending = False
         self._timer: Timer | None = None
         host.on_change(self._changed)
-        membership.on_facts(self._observations_received)
+        membership.on_observations(self._observations_received)
 
     def view(self) -> dict[str, object]:
-        """For the door: whom we hold back or pace on the word of others, and whose word is doubted."""
+        """For the admin server: servers held back or paced by reports, and members that are doubted."""
         now, evaluation = self._loop.clock.now(), self._evaluator.evaluation
         return {
             "held_back": {
@@ -49,11 +50,11 @@
             "doubted": self._evaluator.doubted.names,
         }
 
-    # --- what we see ---
+    # --- our own observations ---
 
     def _changed(self, entry: Entry, removed: bool) -> None:
-        """Our own sources say something else of a server: tell it, where it is a reason to be careful or
-        takes such a reason back."""
+        """Our own sources changed a server's state: report it if it calls for caution or withdraws such a
+        report."""
         state = LEAVING.get(entry.rule, ListState.SERVING)
         before, reported = self._published.get(entry.server), (state, entry.seen)
         plain = state is ListState.SERVING and entry.seen is None
@@ -71,15 +72,15 @@
         now, cold_ms = self._loop.clock.now(), -1
         if entry.seen is not None and state is ListState.SERVING:
             cold_ms = min(MAX_AGE_MS, max(ZERO, now - entry.seen) // MILLI)
-        self._membership.saw(Observation(entry.server, self._name, 0, state, cold_ms))
+        self._membership.observe(Observation(entry.server, self._name, 0, state, cold_ms))
 
-    # --- what others see ---
+    # --- observations of others ---
 
     def _observations_received(self, _: ObservationsReceived) -> None:
         self._schedule_evaluation()
 
     def _schedule_evaluation(self) -> None:
-        """In this turn still, once for all that came in it."""
+        """Evaluate once, later in this turn of the loop, for all that arrives in it."""
         if not self._evaluation_pending:
             self._evaluation_pending = True
             self._loop.call_soon(self._evaluate)
--- a/tests/test_member_reports.py
+++ b/tests/test_member_reports.py
@@ -34,7 +34,7 @@
         self.evaluator = ReportEvaluator(self.knowledge, COLD)
         self.ours = set(SERVERS)
 
-    def receive(self, now: datetime, *observations: Observation) -> Evaluation:
+    def deliver(self, now: datetime, *observations: Observation) -> Evaluation:
         self.knowledge.receive(now, observations)
         return self.evaluate(now)
 
@@ -44,23 +44,23 @@
 
 def test_a_server_that_another_saw_leave_is_held_back_until_our_sources_have_had_their_time() -> None:
     ear = Ear()
-    evaluation = ear.receive(START, leaving(SERVERS[0], "n1", age_ms=1000))
+    evaluation = ear.deliver(START, leaving(SERVERS[0], "n1", age_ms=1000))
     assert evaluation.held[SERVERS[0]].by == ("n1",)
     assert evaluation.reevaluate_at == START + HOLD_TIME - S - MAX_HOP_DELAY, (
         "from when it was seen, not from when it was told"
     )
     assert not ear.evaluate(evaluation.reevaluate_at).held and not ear.evaluator.doubted.names
-    again = ear.receive(START + 20 * S, leaving(SERVERS[0], "n1"))
+    again = ear.deliver(START + 20 * S, leaving(SERVERS[0], "n1"))
     assert list(again.held) == SERVERS[:1]
-    back = ear.receive(START + 21 * S, Observation(SERVERS[0], "n1", 0, ListState.SERVING))
+    back = ear.deliver(START + 21 * S, Observation(SERVERS[0], "n1", 0, ListState.SERVING))
     assert not back.held, "who saw it leave saw it come back"
 
 
 def test_no_member_takes_more_than_half_of_the_servers_away_whatever_it_says() -> None:
     ear = Ear()
-    evaluation = ear.receive(START, *(leaving(server, "liar") for server in SERVERS))
+    evaluation = ear.deliver(START, *(leaving(server, "liar") for server in SERVERS))
     assert len(evaluation.held) == 3
-    both = ear.receive(START + S, *(leaving(server, "n2") for server in SERVERS[-2:]))
+    both = ear.deliver(START + S, *(leaving(server, "n2") for server in SERVERS[-2:]))
     assert len(both.held) == 3 and set(SERVERS[-2:]) <= set(both.held), "what two have seen goes first"
     ear.ours = {SERVERS[0]}
     assert not ear.evaluate(START + 2 * S).held, "the last one serves"
@@ -69,20 +69,20 @@
 def test_whose_word_is_not_borne_out_again_and_again_is_not_taken_for_a_while() -> None:
     ear, now = Ear(), START
     for _ in range(4):
-        assert ear.receive(now, leaving(SERVERS[0], "liar")).held
+        assert ear.deliver(now, leaving(SERVERS[0], "liar")).held
         now += HOLD_TIME
         ear.evaluate(now)
     assert ear.evaluator.doubted.names == ["liar"]
-    assert not ear.receive(now, leaving(SERVERS[0], "liar")).held
-    assert ear.receive(now, leaving(SERVERS[1], "n2")).held, "others are believed as before"
+    assert not ear.deliver(now, leaving(SERVERS[0], "liar")).held
+    assert ear.deliver(now, leaving(SERVERS[1], "n2")).held, "others are believed as before"
     later = now + timedelta(minutes=3)
-    assert ear.receive(later, leaving(SERVERS[0], "liar")).held
+    assert ear.deliver(later, leaving(SERVERS[0], "liar")).held
 
 
 def test_word_that_our_sources_bear_out_costs_its_teller_nothing() -> None:
     ear, now = Ear(), START
     for server in SERVERS[:4]:
-        assert server in ear.receive(now, leaving(server, "n1")).held
+        assert server in ear.deliver(now, leaving(server, "n1")).held
         ear.ours.remove(server)
         now += HOLD_TIME
         assert server not in ear.evaluate(now).held
@@ -92,12 +92,12 @@
 def test_one_start_seen_late_by_some_is_one_start() -> None:
     """Each later start would begin the server anew in the module, and forget what it learnt of it."""
     ear = Ear()
-    first = ear.receive(START, Observation(SERVERS[0], "n1", 0, ListState.SERVING, cold_ms=500)).starts
+    first = ear.deliver(START, Observation(SERVERS[0], "n1", 0, ListState.SERVING, cold_ms=500)).starts
     for number in range(2, 6):
         late = Observation(SERVERS[0], f"n{number}", 0, ListState.SERVING, cold_ms=0)
-        assert ear.receive(START + number * S, late).starts == first
+        assert ear.deliver(START + number * S, late).starts == first
     again = Observation(SERVERS[0], "n2", 0, ListState.SERVING, cold_ms=0)
-    assert ear.receive(START + 12 * S, again).starts[SERVERS[0]] > first[SERVERS[0]] + 10 * S
+    assert ear.deliver(START + 12 * S, again).starts[SERVERS[0]] > first[SERVERS[0]] + 10 * S
     assert not ear.evaluate(START + 27 * S).starts, "warm by now"
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -207,7 +207,7 @@
     for number in range(1000):
         name = f"n{number % 10}"
         view.present.add(name)
-        probe_round.add(name)
+        probe_round.include(name)
     assert len(probe_round._remaining) <= 2 * 10 + 1
     assert {probe_round.next() for _ in range(40)} == {f"n{number}" for number in range(10)}
 
