--- a/tests/test_member_reports.py
+++ b/tests/test_member_reports.py
@@ -1,4 +1,4 @@
-"""Call servers by hearsay: it holds back and paces, within bounds, and never adds a server or keeps one."""
+"""Other members' reports hold back and pace call servers within bounds, and never add or keep a server."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return Observation(server, by, age_ms, state)
 
 
-class Ear:
-    """One member's hearsay of six call servers, all of them served by its own sources at first."""
+class Receiver:
+    """One member that receives reports of six call servers, all serving in its own sources at first."""
 
     def __init__(self) -> None:
         self.knowledge = Knowledge("me")
@@ -42,66 +42,66 @@
         return self.evaluator.evaluate(now, self.ours.__contains__, len(self.ours))
 
 
-def test_a_server_that_another_saw_leave_is_held_back_until_our_sources_have_had_their_time() -> None:
-    ear = Ear()
-    evaluation = ear.deliver(START, leaving(SERVERS[0], "n1", age_ms=1000))
+def test_a_server_reported_as_leaving_is_held_back_for_a_bounded_time() -> None:
+    receiver = Receiver()
+    evaluation = receiver.deliver(START, leaving(SERVERS[0], "n1", age_ms=1000))
     assert evaluation.held[SERVERS[0]].by == ("n1",)
     assert evaluation.reevaluate_at == START + HOLD_TIME - S - MAX_HOP_DELAY, (
-        "from when it was seen, not from when it was told"
+        "from when it was seen, not from when it was received"
     )
-    assert not ear.evaluate(evaluation.reevaluate_at).held and not ear.evaluator.doubted.names
-    again = ear.deliver(START + 20 * S, leaving(SERVERS[0], "n1"))
+    assert not receiver.evaluate(evaluation.reevaluate_at).held and not receiver.evaluator.doubted.names
+    again = receiver.deliver(START + 20 * S, leaving(SERVERS[0], "n1"))
     assert list(again.held) == SERVERS[:1]
-    back = ear.deliver(START + 21 * S, Observation(SERVERS[0], "n1", 0, ListState.SERVING))
-    assert not back.held, "who saw it leave saw it come back"
+    back = receiver.deliver(START + 21 * S, Observation(SERVERS[0], "n1", 0, ListState.SERVING))
+    assert not back.held, "the observer of its removal saw it come back"
 
 
-def test_no_member_takes_more_than_half_of_the_servers_away_whatever_it_says() -> None:
-    ear = Ear()
-    evaluation = ear.deliver(START, *(leaving(server, "liar") for server in SERVERS))
+def test_no_member_can_hold_back_more_than_half_of_the_servers() -> None:
+    receiver = Receiver()
+    evaluation = receiver.deliver(START, *(leaving(server, "liar") for server in SERVERS))
     assert len(evaluation.held) == 3
-    both = ear.deliver(START + S, *(leaving(server, "n2") for server in SERVERS[-2:]))
-    assert len(both.held) == 3 and set(SERVERS[-2:]) <= set(both.held), "what two have seen goes first"
-    ear.ours = {SERVERS[0]}
-    assert not ear.evaluate(START + 2 * S).held, "the last one serves"
+    both = receiver.deliver(START + S, *(leaving(server, "n2") for server in SERVERS[-2:]))
+    assert len(both.held) == 3 and set(SERVERS[-2:]) <= set(both.held), "servers with two observers go first"
+    receiver.ours = {SERVERS[0]}
+    assert not receiver.evaluate(START + 2 * S).held, "the last serving one is never held back"
 
 
-def test_whose_word_is_not_borne_out_again_and_again_is_not_taken_for_a_while() -> None:
-    ear, now = Ear(), START
+def test_a_member_whose_reports_stay_unconfirmed_is_ignored_for_a_while() -> None:
+    receiver, now = Receiver(), START
     for _ in range(4):
-        assert ear.deliver(now, leaving(SERVERS[0], "liar")).held
+        assert receiver.deliver(now, leaving(SERVERS[0], "liar")).held
         now += HOLD_TIME
-        ear.evaluate(now)
-    assert ear.evaluator.doubted.names == ["liar"]
-    assert not ear.deliver(now, leaving(SERVERS[0], "liar")).held
-    assert ear.deliver(now, leaving(SERVERS[1], "n2")).held, "others are believed as before"
+        receiver.evaluate(now)
+    assert receiver.evaluator.doubted.names == ["liar"]
+    assert not receiver.deliver(now, leaving(SERVERS[0], "liar")).held
+    assert receiver.deliver(now, leaving(SERVERS[1], "n2")).held, "others are believed as before"
     later = now + timedelta(minutes=3)
-    assert ear.deliver(later, leaving(SERVERS[0], "liar")).held
+    assert receiver.deliver(later, leaving(SERVERS[0], "liar")).held
 
 
-def test_word_that_our_sources_bear_out_costs_its_teller_nothing() -> None:
-    ear, now = Ear(), START
+def test_confirmed_reports_do_not_penalize_their_observer() -> None:
+    receiver, now = Receiver(), START
     for server in SERVERS[:4]:
-        assert server in ear.deliver(now, leaving(server, "n1")).held
-        ear.ours.remove(server)
+        assert server in receiver.deliver(now, leaving(server, "n1")).held
+        receiver.ours.remove(server)
         now += HOLD_TIME
-        assert server not in ear.evaluate(now).held
-    assert not ear.evaluator.doubted.names
+        assert server not in receiver.evaluate(now).held
+    assert not receiver.evaluator.doubted.names
 
 
-def test_one_start_seen_late_by_some_is_one_start() -> None:
-    """Each later start would begin the server anew in the module, and forget what it learnt of it."""
-    ear = Ear()
-    first = ear.deliver(START, Observation(SERVERS[0], "n1", 0, ListState.SERVING, cold_ms=500)).starts
+def test_late_reports_of_one_start_are_one_start() -> None:
+    """Guards against restarting the server in the controller, which discards what it measured of it."""
+    receiver = Receiver()
+    first = receiver.deliver(START, Observation(SERVERS[0], "n1", 0, ListState.SERVING, cold_ms=500)).starts
     for number in range(2, 6):
         late = Observation(SERVERS[0], f"n{number}", 0, ListState.SERVING, cold_ms=0)
-        assert ear.deliver(START + number * S, late).starts == first
+        assert receiver.deliver(START + number * S, late).starts == first
     again = Observation(SERVERS[0], "n2", 0, ListState.SERVING, cold_ms=0)
-    assert ear.deliver(START + 12 * S, again).starts[SERVERS[0]] > first[SERVERS[0]] + 10 * S
-    assert not ear.evaluate(START + 27 * S).starts, "warm by now"
+    assert receiver.deliver(START + 12 * S, again).starts[SERVERS[0]] > first[SERVERS[0]] + 10 * S
+    assert not receiver.evaluate(START + 27 * S).starts, "warm by now"
 
 
-def test_one_observation_that_comes_by_several_ways_is_news_once() -> None:
+def test_copies_of_one_observation_are_new_only_once() -> None:
     gossip = ObservationGossip("me", 6)
     assert len(gossip.receive(START, [leaving(SERVERS[0], "n1", age_ms=300)])) == 1
     for age_ms in (250, 150, 400):
@@ -111,43 +111,43 @@
     while len(gossip):
         sent_count += 1
         gossip.sent(gossip.next_observations(START + S)[0], 7)
-    assert sent_count == 6, "times ceil(log10(8)), one word of one server"
+    assert sent_count == 6, "times ceil(log10(8)), one observation of one server"
 
 
-words = st.sampled_from([ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE])
+claim_states = st.sampled_from([ClaimState.SERVING, ClaimState.DRAINING, ClaimState.GONE])
 
 
-@given(st.lists(st.tuples(st.integers(0, 2), words | st.booleans()), max_size=20))
-def test_hearsay_neither_adds_a_server_nor_keeps_one_and_its_end_is_no_start(
+@given(st.lists(st.tuples(st.integers(0, 2), claim_states | st.booleans()), max_size=20))
+def test_reports_neither_add_nor_keep_a_server_and_their_end_is_no_start(
     steps: list[tuple[int, ClaimState | bool]],
 ) -> None:
-    """Beside a pool that hears nothing: what serves is the same but for those held back."""
+    """Compared with a pool without reports, the same servers serve except those held back."""
     pools = [Pool(START, ["list"]) for _ in range(2)]
     held: set[str] = set()
     now = START + timedelta(minutes=1)
     for number, step in steps:
         now += S
-        place = ("192.0.2.1", 5060 + number)
+        endpoint = ("192.0.2.1", 5060 + number)
         if isinstance(step, ClaimState):
             for pool in pools:
-                pool.partial_update(now, "list", [Claim(place, format_address(place), step)])
+                pool.partial_update(now, "list", [Claim(endpoint, format_address(endpoint), step)])
         else:
-            (held.add if step else held.discard)(format_address(place))
+            (held.add if step else held.discard)(format_address(endpoint))
             pools[1].apply_member_reports(now, held, {})
-        deaf, hearing = ({entry.server: entry for entry in pool.entries.values()} for pool in pools)
-        assert deaf.keys() == hearing.keys() and pools[0].vouched_count == pools[1].vouched_count
-        for server, entry in hearing.items():
-            assert entry.serves == (deaf[server].serves and server not in held)
-            assert entry.ours == deaf[server].serves and entry.seen == deaf[server].seen
-            assert entry.rule is Rule.HEARSAY or entry.rule is deaf[server].rule
+        plain, informed = ({entry.server: entry for entry in pool.entries.values()} for pool in pools)
+        assert plain.keys() == informed.keys() and pools[0].vouched_count == pools[1].vouched_count
+        for server, entry in informed.items():
+            assert entry.serves == (plain[server].serves and server not in held)
+            assert entry.ours == plain[server].serves and entry.seen == plain[server].seen
+            assert entry.rule is Rule.HEARSAY or entry.rule is plain[server].rule
 
 
-def test_a_start_that_others_saw_is_told_to_the_core_and_its_end_is_not() -> None:
+def test_a_reported_start_is_passed_on_and_its_end_is_no_new_start() -> None:
     pool = Pool(START, ["list"])
-    place = ("192.0.2.1", 5060)
-    for _ in pool.full_update(START, "list", [Claim(place, "a")]):
+    endpoint = ("192.0.2.1", 5060)
+    for _ in pool.full_update(START, "list", [Claim(endpoint, "a")]):
         pass
-    server, entry = format_address(place), pool.entries[place]
+    server, entry = format_address(endpoint), pool.entries[endpoint]
     assert entry.started is None
     assert (
         pool.apply_member_reports(START + S, set(), {server: START}) == [Change(entry)]
@@ -158,7 +158,7 @@
     assert entry.started is None and entry.seen is None
 
 
-def test_a_group_tells_all_of_a_drain_and_a_newcomer_of_a_start_while_datagrams_get_lost() -> None:
+def test_a_drain_reaches_all_and_a_start_reaches_a_newcomer_despite_loss() -> None:
     group = Group(16, 5, way=Way(loss=0.2, delay_s=(0.004, 0.024)))
     group.start()
     group.run(8, group.agreed)
@@ -168,18 +168,18 @@
     group.carry_out(first, first.protocol.observe(group.clock(first), leaving(SERVERS[0], "n0")))
     began = group.now_s
 
-    def know(server: str) -> int:
+    def knowing(server: str) -> int:
         return sum(
             node.protocol is not None
             and node.protocol.observation_gossip.knowledge.get(server, "n0") is not None
             for node in group.running()
         )
 
-    assert group.run(2, lambda: know(SERVERS[0]) == 16), know(SERVERS[0])
+    assert group.run(2, lambda: knowing(SERVERS[0]) == 16), knowing(SERVERS[0])
     assert group.now_s - began < 1.0
     group.run(3)
     assert not any(len(node.protocol.observation_gossip) for node in group.running() if node.protocol), (
-        "told and done"
+        "gossip of it has ended"
     )
     started = Observation(SERVERS[1], "n0", 0, ListState.SERVING, cold_ms=0)
     group.carry_out(first, first.protocol.observe(group.clock(first), started))
@@ -187,19 +187,23 @@
     group.kill("n9")
     group.run(0.5)
     group.start(["n9"])
-    assert group.run(3, lambda: know(SERVERS[1]) == 16), "a newcomer meets a server while it is cold"
+    assert group.run(3, lambda: knowing(SERVERS[1]) == 16), (
+        "a newcomer learns of the start while the server is cold"
+    )
     assert group.state("n0", "n9") is not State.DEAD
 
 
-def test_a_guest_s_word_of_call_servers_is_not_taken() -> None:
+def test_a_nonvoter_s_observations_are_rejected() -> None:
     group = Group(3, 1)
-    guest = group.add("stranger", ("10.9.9.9", 7946))
+    nonvoter = group.add("stranger", ("10.9.9.9", 7946))
     group.start()
     group.run(3)
-    assert guest.protocol is not None
-    group.carry_out(guest, guest.protocol.observe(group.clock(guest), leaving(SERVERS[0], "stranger")))
+    assert nonvoter.protocol is not None
+    group.carry_out(
+        nonvoter, nonvoter.protocol.observe(group.clock(nonvoter), leaving(SERVERS[0], "stranger"))
+    )
     group.run(3)
     for node in group.nodes.values():
         assert node.protocol is not None
         knows = node.protocol.observation_gossip.knowledge.get(SERVERS[0], "stranger")
-        assert (knows is None) == (node is not guest)
+        assert (knows is None) == (node is not nonvoter)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership as state machines in virtual time: what each member comes to think, and what it never may."""
+"""The membership protocol as state machines in virtual time: detection, refutation, quorum and bounds."""
 
 from __future__ import annotations
 
@@ -48,18 +48,18 @@
 
 
 @given(st.sampled_from(Kind), records, st.lists(records, max_size=20), st.binary(max_size=128))
-def test_datagrams_are_read_as_written_and_never_longer_than_allowed(
-    kind: Kind, sender: Record, news: list[Record], buckets: bytes
+def test_datagrams_round_trip_and_respect_the_size_limit(
+    kind: Kind, sender: Record, updates: list[Record], buckets: bytes
 ) -> None:
     buckets = buckets[: len(buckets) // 4 * 4]
-    data, sent = write(GROUP, Message(kind, 3, sender, b"12345678", "n9", buckets), news)
+    data, sent = write(GROUP, Message(kind, 3, sender, b"12345678", "n9", buckets), updates)
     assert len(data) <= MAX_DATAGRAM
     got = read(GROUP, data)
-    assert (got.kind, got.sender, got.records, got.buckets) == (kind, sender, news[:sent], buckets)
+    assert (got.kind, got.sender, got.records, got.buckets) == (kind, sender, updates[:sent], buckets)
 
 
 @given(st.binary(max_size=300), st.integers(0, 255), st.integers(1, 255))
-def test_what_is_cut_changed_or_nonsense_is_refused(noise: bytes, at: int, flip: int) -> None:
+def test_truncated_corrupted_and_random_datagrams_are_rejected(noise: bytes, at: int, flip: int) -> None:
     data, _ = write(GROUP, Message(Kind.PING, 1, ME, b"12345678"), [other()])
     spoilt = bytearray(data)
     spoilt[at % len(data)] ^= flip
@@ -68,11 +68,11 @@
             read(GROUP, bad)
 
 
-def test_a_later_version_is_read_where_it_says_so_and_counted_where_not() -> None:
+def test_a_later_version_is_read_only_if_it_declares_compatibility() -> None:
     data, _ = write(GROUP, Message(Kind.PING, 1, ME, b"12345678"))
     body = data[12:]
-    assert body[0] & 0xF0 == 0x90, "an array of less than 16"
-    longer = bytes([body[0] + 1]) + body[1:] + b"\xc3"  # a field more, as a later version has it
+    assert body[0] & 0xF0 == 0x90, "an array of fewer than 16 elements"
+    longer = bytes([body[0] + 1]) + body[1:] + b"\xc3"  # one more field, as a later version has
 
     def sealed(version: int, read_from: int, body: bytes) -> bytes:
         check = zlib.crc32(body, zlib.crc32(bytes((version, read_from)) + GROUP.to_bytes(4, "big")))
@@ -92,14 +92,16 @@
 
 
 @given(st.lists(claims, max_size=12), st.randoms())
-def test_tables_that_saw_the_same_are_equal_whatever_the_order(
+def test_views_with_the_same_claims_are_equal_in_any_order(
     claims: list[tuple[int, State, int]], rng: random.Random
 ) -> None:
-    made = [other(f"n{life}", incarnation=inc, state=state, boot_id=life) for inc, state, life in claims]
+    made = [
+        other(f"n{number}", incarnation=inc, state=state, boot_id=number) for inc, state, number in claims
+    ]
     views = []
     for _ in range(2):
         view = View("me", frozenset(f"n{n}" for n in range(3)), 600 * S)
-        for record in made + made[:3]:  # some come twice
+        for record in made + made[:3]:  # some arrive twice
             view.merge(START, record)
         views.append(view)
         rng.shuffle(made)
@@ -109,13 +111,13 @@
     assert {r.name for r in one if r.present} == set(one.present) == set(two.present)
 
 
-def test_a_table_is_bounded_and_forgets_guests_that_are_gone_but_no_one_of_the_roster() -> None:
+def test_the_view_is_bounded_and_expires_ended_nonvoters_but_no_voter() -> None:
     view = View("me", frozenset({"n0"}), 600 * S)
     view.merge(START, other("n0", state=State.DEAD))
     for number in range(1, MAX_RECORDS):
         view.merge(START, other(f"n{number}", state=State.LEFT if number == 5 else State.ALIVE))
     assert len(view) == MAX_RECORDS
-    assert view.merge(START, other("late")) is not None, "in place of the one that left"
+    assert view.merge(START, other("late")) is not None, "replaces the member that left"
     assert view.get("n5") is None and view.merge(START, other("later")) is None
     view.merge(START, other("n7", state=State.DEAD))
     assert not view.expire(START + 599 * S)
@@ -123,7 +125,7 @@
     assert view.get("n0") is not None
 
 
-def test_suspicion_is_shorter_the_more_members_share_it() -> None:
+def test_a_suspicion_shrinks_with_the_number_of_confirmations() -> None:
     def ends(*others: str, group: int = 7) -> float:
         made = Suspicion(START, 2 * S, 12 * S, 3, "n0", group)
         for by in others:
@@ -132,12 +134,12 @@
 
     spans = [ends(), ends("n1"), ends("n1", "n2"), ends("n1", "n2", "n3")]
     assert spans[0] == 12 and spans[-1] == pytest.approx(2) and spans == sorted(spans, reverse=True)
-    assert ends("n0", "n0") == 12, "the same member twice is no second one"
-    assert ends(group=1) == 2, "nobody else could confirm"
+    assert ends("n0", "n0") == 12, "the same accuser twice is no confirmation"
+    assert ends(group=1) == 2, "no other member could confirm"
 
 
-def test_whoever_calls_another_dead_has_asked_it_just_before() -> None:
-    """A refutation that is lost on all ways to one member made that one call a live member dead."""
+def test_a_member_is_pinged_directly_before_it_is_declared_dead() -> None:
+    """Guards against declaring a live member dead when its refutation is lost on every path to one member."""
 
     def suspected() -> tuple[Suspects, TimerQueue, Outbox, list[datetime]]:
         view, timers, died = View("n0", frozenset(), 600 * S), TimerQueue(), list[datetime]()
@@ -162,24 +164,24 @@
     assert len(died) == 1 and len(pings) == 6 and died[0] - pings[0] == Timing().final_check_span
     suspects, timers, outbox, died = suspected()
     assert len(asked(timers, outbox, pings[2])) == 3
-    suspects.extend(30 * S)  # we were away: whatever it answered meanwhile, we did not hear
+    suspects.extend(30 * S)  # after a stall, in which answers were missed
     assert len(asked(timers, outbox, pings[-1] + 25 * S)) == 0 and not died
     suspects.clear("n1")
     assert asked(timers, outbox, START + 600 * S) == [] and not died
 
 
-def test_few_suspect_each_other_where_a_third_of_the_datagrams_is_lost() -> None:
-    """At 30% loss a probe that is asked once more fails in one of nine cases, twice more in one of forty."""
+def test_probe_retries_keep_false_suspicions_rare_at_30_percent_loss() -> None:
+    """At 30% loss, a probe with one retry fails in one of nine cases, with two retries in one of forty."""
     group = Group(24, 3, way=Way(loss=0.3, delay_s=(0.004, 0.024)))
     group.start()
     group.run(10)
     before = COUNTERS["members.suspected"]
     group.run(30)
-    assert 0 < COUNTERS["members.suspected"] - before < 900, "1,965 by all of them when each asked once more"
+    assert 0 < COUNTERS["members.suspected"] - before < 900, "1,965 in total with a single retry"
     assert not [seen for seen in group.history if seen.state is State.DEAD]
 
 
-def test_local_health_is_bounded_and_scales_spans() -> None:
+def test_local_health_is_bounded_and_scales_timeouts() -> None:
     health = LocalHealth()
     health.degrade(50)
     assert health.scaled(S) == (MAX_SCORE + 1) * S
@@ -188,7 +190,7 @@
     assert health.scaled(S) == S
 
 
-def test_each_record_is_passed_on_a_bounded_number_of_times_the_least_often_sent_first() -> None:
+def test_each_record_is_sent_a_bounded_number_of_times_the_least_often_sent_first() -> None:
     queue: DisseminationQueue[Record] = DisseminationQueue(3)
     sent: list[str] = []
     for number in range(4):
@@ -198,10 +200,10 @@
         sent += [record.name for record in batch]
         queue.sent(batch, 7)
     assert {name: sent.count(name) for name in set(sent)} == dict.fromkeys(["n0", "n1", "n2", "n3"], 3)
-    assert sent[3] == "n3", "the one that had no room went first the next time"
+    assert sent[3] == "n3", "the record that did not fit is sent first the next time"
 
 
-def test_a_round_stays_bounded_where_members_come_faster_than_they_are_probed() -> None:
+def test_a_probe_round_stays_bounded_when_members_join_faster_than_they_are_probed() -> None:
     view = View("me", frozenset(), 600 * S)
     probe_round = ProbeRound(view, random.Random(1))
     for number in range(1000):
@@ -212,7 +214,7 @@
     assert {probe_round.next() for _ in range(40)} == {f"n{number}" for number in range(10)}
 
 
-def test_who_flaps_is_damped_and_let_go_once_it_is_steady() -> None:
+def test_a_flapping_member_is_damped_and_released_once_it_is_stable() -> None:
     damping = Damping()
     assert [damping.penalize(START + n * S, "n1") for n in range(4)] == [False, False, False, True]
     assert damping.is_damped("n1")
@@ -231,40 +233,40 @@
         (7, 0, QuorumState.MAJORITY),
     ],
 )
-def test_standing_counts_the_roster_and_ourselves(
+def test_the_quorum_counts_voters_including_this_member(
     alive: int, suspect: int, quorum_state: QuorumState
 ) -> None:
-    count = QuorumTracker("n0", (VoterSet(1, frozenset(f"n{n}" for n in range(8))),))
+    tracker = QuorumTracker("n0", (VoterSet(1, frozenset(f"n{n}" for n in range(8))),))
     for number in range(1, 8):
         state = State.ALIVE if number <= alive else State.SUSPECT if number <= alive + suspect else State.DEAD
-        count.member_changed(f"n{number}", None, other(f"n{number}", state=state))
-    for number in range(10, 30):  # guests, whatever they go by
-        count.member_changed(f"n{number}", None, other(f"n{number}", voters_id=99))
-    assert count.quorum_state(True) is quorum_state
-    assert count.quorum_state(False) is QuorumState.JOINING
-    out_of_touch = QuorumState.UNSURE if alive >= 4 else QuorumState.MINORITY
-    assert count.quorum_state(True, has_contact=False) is out_of_touch
-    count.set_damped("n1", True, State.ALIVE)
-    assert count.quorum_state(True) is (
+        tracker.member_changed(f"n{number}", None, other(f"n{number}", state=state))
+    for number in range(10, 30):  # nonvoters, whichever voter set they use
+        tracker.member_changed(f"n{number}", None, other(f"n{number}", voters_id=99))
+    assert tracker.quorum_state(True) is quorum_state
+    assert tracker.quorum_state(False) is QuorumState.JOINING
+    without_contact = QuorumState.UNSURE if alive >= 4 else QuorumState.MINORITY
+    assert tracker.quorum_state(True, has_contact=False) is without_contact
+    tracker.set_damped("n1", True, State.ALIVE)
+    assert tracker.quorum_state(True) is (
         quorum_state if alive == 7 or not quorum_state.has_quorum else QuorumState.UNSURE
     )
 
 
-def test_while_two_rosters_are_in_use_both_majorities_are_needed() -> None:
+def test_two_voter_sets_in_use_require_both_majorities() -> None:
     old, new = (VoterSet(v, frozenset(f"n{n}" for n in r)) for v, r in ((1, range(3)), (2, range(2, 9))))
-    count = QuorumTracker("n3", (new, old))
+    tracker = QuorumTracker("n3", (new, old))
     for number in range(4, 9):
-        count.member_changed(f"n{number}", None, other(f"n{number}", voters_id=new.id))
-    assert count.quorum_state(True) is QuorumState.MAJORITY
-    count.member_changed("n2", None, other("n2", voters_id=old.id))
-    assert count.quorum_state(True) is QuorumState.MINORITY, "one of three of the old one"
-    count.member_changed("n1", None, other("n1", voters_id=old.id))
-    assert count.quorum_state(True) is QuorumState.MAJORITY
-    count.member_changed("n0", None, other("n0", voters_id=12345))
-    assert count.quorum_state(True) is QuorumState.UNSURE, "a roster that we do not know"
+        tracker.member_changed(f"n{number}", None, other(f"n{number}", voters_id=new.id))
+    assert tracker.quorum_state(True) is QuorumState.MAJORITY
+    tracker.member_changed("n2", None, other("n2", voters_id=old.id))
+    assert tracker.quorum_state(True) is QuorumState.MINORITY, "one of three voters of the old set"
+    tracker.member_changed("n1", None, other("n1", voters_id=old.id))
+    assert tracker.quorum_state(True) is QuorumState.MAJORITY
+    tracker.member_changed("n0", None, other("n0", voters_id=12345))
+    assert tracker.quorum_state(True) is QuorumState.UNSURE, "an unknown voter set"
 
 
-def test_settings_out_of_bounds_are_refused_by_name() -> None:
+def test_settings_out_of_range_are_rejected_by_name() -> None:
     for key, value in (("interval", 0 * S), ("timeout", 9 * S), ("relays", 99), ("forget", S), ("beta", 0.0)):
         with pytest.raises(ValueError, match=rf"members\.{key} "):
             Timing(**{key: value})  # type: ignore[arg-type]
@@ -289,7 +291,7 @@
     ]  # fmt: skip
 
 
-def test_a_dead_member_is_found_by_all_and_no_one_else_is_suspected() -> None:
+def test_a_dead_member_is_detected_by_all_and_no_other_is_declared_dead() -> None:
     group = started()
     at = group.now_s
     group.kill("n3")
@@ -298,7 +300,7 @@
     assert max(deaths(group, at)) < 8
 
 
-def test_a_member_that_leaves_is_not_suspected_and_not_mourned() -> None:
+def test_a_member_that_leaves_is_never_declared_dead() -> None:
     group = started()
     group.leave("n3")
     group.run(1)
@@ -308,10 +310,11 @@
     assert not deaths(group, 0)
 
 
-def test_a_stopped_member_refutes_on_its_way_back_and_accuses_nobody() -> None:
-    """3 s of SIGSTOP: it may be called dead meanwhile; no flap storm follows, and it calls nobody dead.
+def test_a_stopped_member_refutes_after_resuming_and_accuses_no_one() -> None:
+    """During 3 s of SIGSTOP it may be declared dead; afterwards it must neither flap nor declare others dead.
 
-    Its socket's buffer holds what came, or ran over: then the answers to its own probes are lost.
+    Its socket buffer holds the datagrams received meanwhile, or has overflowed: then answers to its probes
+    are lost.
     """
     for seed in range(8):
         group = started(seed=seed)
@@ -326,12 +329,12 @@
         assert group.run(5, group.agreed)
         group.run(20)
         about = [seen for seen in group.history if seen.at_s > at and seen.about != seen.by]
-        assert {seen.about for seen in about} <= {"n3"}, "nobody else changed in any view"
+        assert {seen.about for seen in about} <= {"n3"}, "no other member changed in any view"
         assert max(sum(seen.by == node.name for seen in about) for node in group.running()) <= 4
         assert group.agreed() and group.quorum_states() == {QuorumState.MAJORITY}
 
 
-def test_a_cut_of_three_from_five_leaves_one_side_that_may_decide_and_one_view_after() -> None:
+def test_a_partition_of_three_from_five_leaves_one_quorum_and_heals_to_one_view() -> None:
     group = started()
     few, many = ["n0", "n1", "n2"], [f"n{n}" for n in range(3, 8)]
     group.cut(few, many)
@@ -346,8 +349,8 @@
     assert all(len(node.protocol.view) == 8 for node in group.running() if node.protocol)
 
 
-def test_one_that_is_cut_off_alone_is_unsure_within_ten_intervals() -> None:
-    """Its own probes slow down as they fail; four failed ones, which its table needs, took over 10 s."""
+def test_an_isolated_member_loses_its_quorum_within_ten_intervals() -> None:
+    """Its own probes slow down as they fail: detection by four failed ones took over 10 s."""
     for seed in range(3):
         group = started(seed=seed)
         group.cut(["n0"], [f"n{n}" for n in range(1, 8)])
@@ -359,35 +362,37 @@
         assert group.quorum_states() == {QuorumState.MAJORITY}
 
 
-def test_newcomers_in_a_minority_do_not_make_it_a_majority() -> None:
+def test_nonvoters_do_not_turn_a_minority_into_a_majority() -> None:
     group = started()
     few, many = ["n0", "n1", "n2"], [f"n{n}" for n in range(3, 8)]
-    guests = [group.add(f"g{n}", (f"10.9.0.{n + 1}", 7946)).name for n in range(6)]
-    group.cut([*few, *guests], many)
-    group.start(guests)
+    nonvoters = [group.add(f"g{n}", (f"10.9.0.{n + 1}", 7946)).name for n in range(6)]
+    group.cut([*few, *nonvoters], many)
+    group.start(nonvoters)
     group.run(20)
     assert group.state("n0", "g1") is State.ALIVE
     assert group.quorum_states(few) == {QuorumState.MINORITY}
-    assert QuorumState.MAJORITY not in group.quorum_states(guests)
+    assert QuorumState.MAJORITY not in group.quorum_states(nonvoters)
 
 
-def test_a_one_way_cut_is_bridged_by_relays_or_known_and_heals() -> None:
-    """A hears B, B does not hear A: relays carry the probes, and nobody is called dead for good."""
+def test_a_one_way_cut_is_bridged_by_relays_or_detected_and_heals() -> None:
+    """A receives from B but not B from A: relays carry the probes, and no one is declared dead for good."""
     group = started()
     group.cut(["n0"], ["n1"], both=False)
     group.run(30)
     assert not [seen for seen in group.history if seen.state is State.SUSPECT]
-    group.cut(["n0"], [f"n{n}" for n in range(1, 8)], both=False)  # it hears all, and none hears it
+    group.cut(
+        ["n0"], [f"n{n}" for n in range(1, 8)], both=False
+    )  # it receives from all, and none receives from it
     assert group.run(20, lambda: all(group.state(f"n{n}", "n0") is State.DEAD for n in range(1, 8)))
     group.run(20)
     assert group.quorum_states(["n0"]) <= {QuorumState.MINORITY, QuorumState.UNSURE}, (
-        "it hears of its own death"
+        "it learns of its own death"
     )
     group.heal()
     assert group.run(10, group.agreed)
 
 
-def test_half_killed_and_back_within_a_second_is_one_group_again() -> None:
+def test_half_of_the_group_restarting_within_a_second_rejoins() -> None:
     group = started()
     half = [f"n{n}" for n in range(4)]
     group.kill(*half)
@@ -400,7 +405,7 @@
     assert group.agreed() and all(len(n.protocol.view) == 8 for n in group.running() if n.protocol)
 
 
-def test_two_restarts_within_the_time_of_a_suspicion_are_one_member() -> None:
+def test_two_restarts_within_one_suspicion_remain_one_member() -> None:
     group = started()
     for _ in range(2):
         group.kill("n3")
@@ -413,7 +418,7 @@
     assert node is not None and node.me.incarnation >= 1
 
 
-def test_clocks_thirty_seconds_apart_change_nothing() -> None:
+def test_clock_differences_of_thirty_seconds_have_no_effect() -> None:
     plain, skewed = Group(8, 5), Group(8, 5)
     for number, node in enumerate(skewed.nodes.values()):
         node.skew = timedelta(seconds=30 * (number % 3 - 1))
@@ -425,23 +430,23 @@
     assert plain.history == skewed.history
 
 
-def test_a_datagram_of_a_retired_member_a_minute_later_brings_nobody_back() -> None:
+def test_a_late_datagram_does_not_revive_a_member_that_left() -> None:
     group = started()
-    guest = group.add("g1", ("10.9.0.1", 7946))
+    nonvoter = group.add("g1", ("10.9.0.1", 7946))
     group.start(["g1"])
     group.run(5)
-    assert group.state("n0", "g1") is State.ALIVE and guest.protocol is not None
-    late, _ = write(GROUP, Message(Kind.PING, 1, guest.protocol.me, b"12345678"))
+    assert group.state("n0", "g1") is State.ALIVE and nonvoter.protocol is not None
+    late, _ = write(GROUP, Message(Kind.PING, 1, nonvoter.protocol.me, b"12345678"))
     group.leave("g1")
     group.run(1)
     group.kill("g1")
     group.run(60)
-    group._hear(group.nodes["n0"], guest.address, late)
+    group._hear(group.nodes["n0"], nonvoter.address, late)
     group.run(5)
     assert {group.state(f"n{n}", "g1") for n in range(8)} == {State.LEFT}
 
 
-def test_strangers_and_forged_senders_are_counted_and_change_nothing() -> None:
+def test_forged_senders_are_counted_and_do_not_change_the_view() -> None:
     group = started()
     node = group.nodes["n0"]
     assert node.protocol is not None
@@ -460,7 +465,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.3])
-def test_loss_on_every_link_kills_nobody(loss: float) -> None:
+def test_packet_loss_on_every_link_causes_no_deaths(loss: float) -> None:
     group = Group(8, 3, way=Way(loss=loss, twice=0.1, delay_s=(0.004, 0.032)))
     group.start()
     group.run(180)
@@ -469,8 +474,8 @@
     assert group.run(60, lambda: all(group.state(n.name, "n3") is State.DEAD for n in group.running()))
 
 
-def test_what_gossip_missed_is_mended_by_digests() -> None:
-    """A guest left while n0 was cut off. Nobody speaks of it any more, and it does not answer."""
+def test_anti_entropy_repairs_what_gossip_missed() -> None:
+    """A nonvoter leaves while n0 is cut off; its record is no longer gossiped, and it does not answer."""
     group = started()
     group.add("g1", ("10.9.0.1", 7946))
     group.start(["g1"])
@@ -485,8 +490,8 @@
     assert not deaths(group, 0, "g1")
 
 
-def test_who_is_suspected_hears_of_it_first_of_all() -> None:
-    """The buddy system: whatever else is new, a probe of a suspected member begins with the suspicion."""
+def test_a_suspected_member_is_notified_first() -> None:
+    """The buddy system: a probe of a suspected member starts with the suspicion, before all updates."""
     group = started()
     node = group.nodes["n0"].protocol
     assert node is not None
@@ -494,7 +499,7 @@
     assert known is not None
     group.cut(["n0"], ["n1"])
     node._merge(group.clock(group.nodes["n0"]), known.as_state(State.SUSPECT, "n2"))
-    node._dissemination.drop("n1")  # it was passed on often enough
+    node._dissemination.drop("n1")  # sent often enough
     for number in range(90, 130):
         node._dissemination.put(other(f"n{number}"))
     node._probe(group.clock(group.nodes["n0"]), "n1")
@@ -507,7 +512,7 @@
     assert (first.name, first.state) == ("n1", State.SUSPECT)
 
 
-def test_a_member_that_hears_nothing_slows_down_and_the_others_do_not() -> None:
+def test_a_member_that_receives_nothing_slows_down_and_the_others_do_not() -> None:
     group = started()
     group.cut([f"n{n}" for n in range(1, 8)], ["n0"], both=False)
     group.run(6)
@@ -533,7 +538,7 @@
 
 
 class Chaos(RuleBasedStateMachine):
-    """Kills, restarts, stops, cuts and time, in any order."""
+    """Kills, restarts, stops, partitions and waits, in any order."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
@@ -579,7 +584,7 @@
                 self.incarnations[key] = record.incarnation
 
     @invariant()
-    def nobody_decides_whose_own_table_shows_no_majority(self) -> None:
+    def no_member_has_a_quorum_without_a_majority_in_its_view(self) -> None:
         for node in getattr(self, "group", Group(0, 0)).running():
             assert node.protocol is not None
             if node.protocol.quorum_state.has_quorum:
@@ -590,7 +595,7 @@
         group = getattr(self, "group", None)
         if group is None:
             return
-        # Whatever came before: once ways are whole and nobody is stopped, all come to one view of who runs.
+        # Once links are healed and no member is stopped, all views converge, whatever happened before.
         group.heal()
         assert group.run(120, lambda: group.agreed() or not group.running()) or not group.running()
 
@@ -600,10 +605,10 @@
 
 
 @given(st.integers(1, 2000), st.integers(0, 2000), st.integers(0, 2000))
-def test_however_many_are_cut_off_all_together_take_no_more_than_a_cold_server_bears(
-    configured: int, alive: int, guests: int
+def test_partitioned_instances_together_do_not_overload_a_cold_server(
+    configured: int, alive: int, nonvoters: int
 ) -> None:
-    """The alive ones go by the view, those cut off by the settings: the module leaves 13/16 of what tips."""
+    """Alive instances use the view, others the settings; the controller admits 13/16 of an overload."""
     alive = min(alive, configured)
     if alive * 2 <= configured:
         assert sharing_instances(configured, max(1, alive), has_quorum=False) >= configured
@@ -611,4 +616,4 @@
     ours = alive / sharing_instances(configured, alive, has_quorum=True)
     theirs = (configured - alive) / sharing_instances(configured, configured - alive, has_quorum=False)
     assert 13 / 16 * (ours + theirs) < 1
-    assert sharing_instances(configured, configured + guests, has_quorum=False) == configured + guests
+    assert sharing_instances(configured, configured + nonvoters, has_quorum=False) == configured + nonvoters
