--- a/reedmount/members/anti_entropy.py
+++ b/reedmount/members/anti_entropy.py
@@ -16,9 +16,9 @@
     """Anti-entropy of the view: gossip is bounded, so a member may miss an update."""
 
     def __init__(
-        self, view: View, outbox: Outbox, spread: DisseminationQueue[Record], rng: random.Random
+        self, view: View, outbox: Outbox, dissemination: DisseminationQueue[Record], rng: random.Random
     ) -> None:
-        self._view, self._outbox, self._dissemination, self._rng = view, outbox, spread, rng
+        self._view, self._outbox, self._dissemination, self._rng = view, outbox, dissemination, rng
         self._mismatches = 0  # consecutive differing digests while no update was pending
         self._started = False  # an exchange in this period
 
--- a/reedmount/members/outbox.py
+++ b/reedmount/members/outbox.py
@@ -47,9 +47,9 @@
 class Outbox:
     """Collects datagrams and events for the owner, in order; holds this member's own record."""
 
-    def __init__(self, group: int, me: Record, view: View, spread: DisseminationQueue[Record]) -> None:
+    def __init__(self, group: int, me: Record, view: View, dissemination: DisseminationQueue[Record]) -> None:
         self.me = me
-        self._group, self._view, self._dissemination = group, view, spread
+        self._group, self._view, self._dissemination = group, view, dissemination
         self._out: list[Output] = []
 
     def add(self, output: Output) -> None:
--- a/reedmount/members/protocol.py
+++ b/reedmount/members/protocol.py
@@ -375,7 +375,7 @@
         known = self.view.get(probe.name)
         if known is None or known.incarnation != probe.incarnation or not known.present:
             return
-        self._merge(now, known.as_state(State.SUSPECT, self.me.name))
+        self._merge(now, known.with_state(State.SUSPECT, self.me.name))
 
     def _next_seq(self) -> int:
         self._seq = (self._seq + 1) & UINT32_MAX or FINAL_CHECK_SEQ + 1
@@ -383,7 +383,7 @@
 
     def _suspicion_expired(self, now: datetime, record: Record) -> None:
         """Declare a member dead whose suspicion timed out and that did not answer the final checks."""
-        self._merge(now, record.as_state(State.DEAD))
+        self._merge(now, record.with_state(State.DEAD))
 
     def _end_probe(self, probe: Probe) -> None:
         self._probes.pop(probe.seq, None)
--- a/reedmount/members/record.py
+++ b/reedmount/members/record.py
@@ -73,7 +73,7 @@
         plain = msgspec.structs.replace(self, state=State.ALIVE, by="")
         return int.from_bytes(blake2b(msgspec.msgpack.encode(plain), digest_size=8).digest(), "big")
 
-    def as_state(self, state: State, by: str = "") -> Record:
+    def with_state(self, state: State, by: str = "") -> Record:
         """The same member, incarnation and process in another state."""
         return msgspec.structs.replace(self, state=state, by=by)
 
--- a/reedmount/members/suspicion.py
+++ b/reedmount/members/suspicion.py
@@ -18,35 +18,35 @@
 
     def __init__(
         self,
-        began: datetime,
+        started_at: datetime,
         shortest: timedelta,
         longest: timedelta,
         confirmations: int,
-        by: str,
+        accuser: str,
         others: int,
     ) -> None:
-        self.began, self._shortest, self._longest = began, shortest, longest
+        self.started_at, self._shortest, self._longest = started_at, shortest, longest
         self._confirmations = min(confirmations, max(0, others - 1))
-        self._by = {by}
+        self._accusers = {accuser}
         self.final_checks = 0  # pings sent to the member near the end
         self.timer: ScheduledTask | None = None  # the next check
 
-    def confirm(self, by: str) -> bool:
+    def confirm(self, accuser: str) -> bool:
         """Count another accuser; returns whether to gossip it: the first few ones are."""
-        if by in self._by or not by or len(self._by) > self._confirmations:
+        if accuser in self._accusers or not accuser or len(self._accusers) > self._confirmations:
             return False
-        self._by.add(by)
+        self._accusers.add(accuser)
         return True
 
     def extend(self, span: timedelta) -> None:
         """Extend it after a stall, in which neither a refutation nor an answer could reach us."""
-        self.began += span
+        self.started_at += span
         self.final_checks = 0
 
     @property
     def ends_at(self) -> datetime:
         """When the member is declared dead, given the current confirmations."""
         if self._confirmations < 1:
-            return self.began + self._shortest
-        share = math.log(len(self._by)) / math.log(self._confirmations + 1)
-        return self.began + max(self._shortest, self._longest - (self._longest - self._shortest) * share)
+            return self.started_at + self._shortest
+        share = math.log(len(self._accusers)) / math.log(self._confirmations + 1)
+        return self.started_at + max(self._shortest, self._longest - (self._longest - self._shortest) * share)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -498,7 +498,7 @@
     known = node.view.get("n1")
     assert known is not None
     group.cut(["n0"], ["n1"])
-    node._merge(group.clock(group.nodes["n0"]), known.as_state(State.SUSPECT, "n2"))
+    node._merge(group.clock(group.nodes["n0"]), known.with_state(State.SUSPECT, "n2"))
     node._dissemination.drop("n1")  # sent often enough
     for number in range(90, 130):
         node._dissemination.put(other(f"n{number}"))
