--- a/reedmount/members/observation_gossip.py
+++ b/reedmount/members/observation_gossip.py
@@ -1,4 +1,4 @@
-"""What was seen of call servers and is still to be told, with its age, a bounded number of times."""
+"""Gossip of call server observations, each sent with its age and a bounded number of times."""
 
 from __future__ import annotations
 
@@ -6,78 +6,80 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from reedmount.members.dissemination import Spread
-from reedmount.members.knowledge import Fact, Heard, Knowledge
+from reedmount.members.dissemination import DisseminationQueue
+from reedmount.members.knowledge import Knowledge, Observation, StoredObservation
 
-ROOM = 8  # facts that could have room in a datagram
+MAX_PER_DATAGRAM = 8  # observations that could fit into a datagram
 
 
 @dataclass(frozen=True, slots=True)
-class Rumour:
-    """Of which server, and who saw it; the fact itself is taken from what is known when it is told."""
+class ObservationKey:
+    """Server and observer; the observation itself is looked up when it is sent."""
 
     server: str
     by: str
 
     @property
     def name(self) -> str:
-        """One observer's word of one server: a newer one takes its place."""
+        """The key in the queue: a newer observation of a server by the same observer replaces the older."""
         return f"{self.server} {self.by}"
 
 
-class Rumours:
-    """The owner of what members know of call servers. Only changes are told: that a server drains, is gone,
-    came back or has started; each by who saw it itself, to everybody, once."""
+class ObservationGossip:
+    """Owns the stored observations and the queue of those to send. Only changes are gossiped: a server
+    drains, was removed, came back or has started. Observers send their own; every member forwards them."""
 
     def __init__(self, me: str, times: int) -> None:
         self.knowledge = Knowledge(me)
-        self._spread: Spread[Rumour] = Spread(times)
+        self._dissemination: DisseminationQueue[ObservationKey] = DisseminationQueue(times)
 
     def __len__(self) -> int:
-        """How many are still to be passed on."""
-        return len(self._spread)
-
-    def saw(self, now: datetime, fact: Fact) -> None:
-        """We saw this ourselves, just now."""
-        self.knowledge.saw(now, fact)
-        self._spread.put(Rumour(fact.server, fact.by))
-
-    def told(self, now: datetime, facts: Iterable[Fact], pass_on: bool = True) -> tuple[Fact, ...]:
-        """Others say so; what of it was news."""
-        news = tuple(fact for fact in facts if self.knowledge.take(now, fact))
+        """The number of observations still to be sent."""
+        return len(self._dissemination)
+
+    def observe(self, now: datetime, observation: Observation) -> None:
+        """Store and gossip an observation that this member just made."""
+        self.knowledge.observe(now, observation)
+        self._dissemination.put(ObservationKey(observation.server, observation.by))
+
+    def receive(
+        self, now: datetime, observations: Iterable[Observation], pass_on: bool = True
+    ) -> tuple[Observation, ...]:
+        """Merge received observations; returns the new ones, which are also forwarded with ``pass_on``."""
+        fresh = tuple(observation for observation in observations if self.knowledge.merge(now, observation))
         if pass_on:
-            for fact in news:
-                self._spread.put(Rumour(fact.server, fact.by))
-        return news
-
-    def next_facts(self, now: datetime) -> tuple[list[Rumour], list[Fact]]:
-        """What goes next, as far as it could have room; what was forgotten meanwhile is told no more."""
-        rumours: list[Rumour] = []
-        facts: list[Fact] = []
-        lost = []
-        for rumour in self._spread.waiting():
-            heard = self._known(rumour)
-            if heard is None:
-                lost.append(rumour)
+            for observation in fresh:
+                self._dissemination.put(ObservationKey(observation.server, observation.by))
+        return fresh
+
+    def next_observations(self, now: datetime) -> tuple[list[ObservationKey], list[Observation]]:
+        """The next observations to send, at most a datagram full; ones that have expired are dropped."""
+        keys: list[ObservationKey] = []
+        observations: list[Observation] = []
+        expired = []
+        for key in self._dissemination.pending():
+            stored = self._lookup(key)
+            if stored is None:
+                expired.append(key)
                 continue
-            rumours.append(rumour)
-            facts.append(heard.aged(now))
-            if len(facts) == ROOM:
+            keys.append(key)
+            observations.append(stored.aged(now))
+            if len(observations) == MAX_PER_DATAGRAM:
                 break
-        for rumour in lost:
-            self._spread.drop(rumour.name)
-        return rumours, facts
+        for key in expired:
+            self._dissemination.drop(key.name)
+        return keys, observations
 
-    def sent(self, rumours: list[Rumour], members: int) -> None:
-        """These have gone out once more."""
-        self._spread.sent(rumours, members)
+    def sent(self, keys: list[ObservationKey], members: int) -> None:
+        """Count one more transmission of these."""
+        self._dissemination.sent(keys, members)
 
-    def all_facts(self, now: datetime) -> list[Fact]:
-        """All that is known and not too old, for a newcomer; the freshest first."""
+    def all_observations(self, now: datetime) -> list[Observation]:
+        """All observations that have not expired, for a newcomer; the latest first."""
         self.knowledge.forget(now)
-        found = [heard for _, kept in self.knowledge for heard in kept]
-        found.sort(key=lambda heard: heard.observed, reverse=True)
-        return [heard.aged(now) for heard in found]
+        found = [stored for _, by_observer in self.knowledge for stored in by_observer]
+        found.sort(key=lambda stored: stored.observed_at, reverse=True)
+        return [stored.aged(now) for stored in found]
 
-    def _known(self, rumour: Rumour) -> Heard | None:
-        return self.knowledge.get(rumour.server, rumour.by)
+    def _lookup(self, key: ObservationKey) -> StoredObservation | None:
+        return self.knowledge.get(key.server, key.by)
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -276,7 +276,7 @@
 
     return replace(
         settings,
-        instances=sharing_instances(settings.instances, membership.alive, membership.standing.has_quorum),
+        instances=sharing_instances(settings.instances, membership.alive, membership.quorum_state.has_quorum),
     )
 
 
--- a/reedmount/peers/replication.py
+++ b/reedmount/peers/replication.py
@@ -84,7 +84,7 @@
         """``store`` is open; ``writer`` creates its writer. Without both, replicas are held in memory
         only."""
         self._loop, self._membership, self._wait = loop, membership, wait
-        voters = membership.protocol.count.current.names
+        voters = membership.protocol.quorum.current.names
         boot_id = membership.protocol.me.boot_id
         self.replicas = Replicas(name, boot_id, voters, faults)
         self.user: ReplicationUser | None = None
@@ -154,12 +154,12 @@
     @property
     def has_quorum(self) -> bool:
         """Whether this member is part of a majority."""
-        return self._membership.standing.has_quorum
+        return self._membership.quorum_state.has_quorum
 
     def boot_id_of(self, name: str) -> int | None:
         """The boot id of a member that is alive as far as the membership view shows."""
         known = self._membership.protocol.view.get(name)
-        return known.boot_id if known is not None and known.there else None
+        return known.boot_id if known is not None and known.present else None
 
     def _address_of(self, name: str) -> Address | None:
         known = self._membership.protocol.view.get(name)
