--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -29,7 +29,7 @@
 
 from reedmount.store.disk import RealDisk
 from reedmount.store.log import Log
-from reedmount.store.writer import _Hand
+from reedmount.store.writer import _DiskThread
 
 RECORD = 600  # bytes: a standing call with its two dialogs
 MAP = 1 << 28
@@ -165,12 +165,12 @@
     disk = RealDisk(folder)
     log = Log(disk)
     if step == "write":
-        hand = _Hand(disk, sync=False)
+        hand = _DiskThread(disk, sync=False)
         for number in range(count):
             log.put(b"call-%08d" % number, record(number % 100))
             if number % 1000 == 999 or number == count - 1:
                 while (batch := log.next_batch()) is not None:
-                    hand.do(batch)
+                    hand.write(batch)
                     log.done(batch)
         return
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
--- a/reedmount/peers/replication.py
+++ b/reedmount/peers/replication.py
@@ -28,7 +28,7 @@
 from reedmount.replicas.messages import Entry, Hello, Message, Phase, ShardId
 from reedmount.replicas.owner import Durable, Send
 from reedmount.replicas.replicas import Fenced, Forget, Pruned, Replicas, TakenOver
-from reedmount.store.log import Log, Unsound
+from reedmount.store.log import CorruptRecord, Log
 from reedmount.store.writer import Writer
 
 TICK = timedelta(milliseconds=100)
@@ -317,7 +317,7 @@
                 value = store.get(key)
                 entry = msgspec.msgpack.decode(value or b"", type=Entry)
                 shard = _shard_of(key)
-            except (Unsound, msgspec.DecodeError, ValueError):
+            except (CorruptRecord, msgspec.DecodeError, ValueError):
                 COUNTERS.add("replicas.unsound")  # others have it
                 continue
             found.setdefault(shard, []).append(entry)
--- a/reedmount/records/__init__.py
+++ b/reedmount/records/__init__.py
@@ -1,1 +1,1 @@
-"""What is held of each call: its record, and while it stands its dialogs, for a survivor to end it."""
+"""Call records: one per call and, while it is established, its dialogs, so that survivors can release it."""
--- a/reedmount/records/call_records.py
+++ b/reedmount/records/call_records.py
@@ -1,4 +1,4 @@
-"""Holds what is promised of the calls of this border controller, and finishes those of dead ones."""
+"""Keeps the replicated records of this border controller's calls and completes those of failed members."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from reedmount.replicas.messages import MAX_DATA, Entry, Phase, ShardId
 from reedmount.sip.dialog import DialogState
 
-SWEEP_EVERY = timedelta(seconds=1)
-SWEPT_AT_ONCE = 1000
-MAX_REFERENCE = 256  # characters of a Call-ID
-PAGE = 256  # records in one answer at the door
-Then = Callable[[], None]
+SWEEP_INTERVAL = timedelta(seconds=1)
+MAX_SWEPT = 1000
+MAX_REFERENCE_LENGTH = 256  # characters of a Call-ID that are stored
+PAGE_SIZE = 256  # records in one response of the admin server
+Callback = Callable[[], None]
 
 
 class CallRecords:
-    """It owns what is held of the calls that are here, and the queue of records that are complete."""
+    """Owns the records of the calls in progress here and the queue of completed records."""
 
     def __init__(
         self,
@@ -43,157 +43,168 @@
         """``keep_for``: how long a complete record is kept."""
         self._loop, self._switch, self._front, self._replication = loop, switch, front, replication
         self._name, self._keep_for = name, keep_for
-        self._held: dict[str, tuple[ShardId, CallRecord]] = {}  # until it is over
-        self._complete: deque[tuple[datetime, str, ShardId]] = deque()
+        self._active: dict[str, tuple[ShardId, CallRecord]] = {}  # records of calls in progress, by call name
+        self._completed: deque[tuple[datetime, str, ShardId]] = deque()
         replication.user = self
         switch.recorder = front.recorder = self
-        loop.call_later(SWEEP_EVERY, self._sweep)
+        loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def view(self, query: dict[str, str]) -> dict[str, object]:
-        """A page of the complete records that are ours, for the door; ``after`` asks for what comes behind so
-        many. Each record is at one member: whoever owned the call last."""
+        """A page of the completed records owned here, for the admin server; ``after`` is the number of
+        records to skip. Each record is listed by one member only: the last owner of the call."""
         text = query.get("after", "0")
         after = int(text) if text.isdecimal() and len(text) < 12 else 0
-        found = list(islice(self._records(), after, after + PAGE + 1))
-        page = [record for record in found[:PAGE] if record is not None]
-        return {"records": page, "next": after + PAGE if len(found) > PAGE else None}
+        found = list(islice(self._records(), after, after + PAGE_SIZE + 1))
+        page = [record for record in found[:PAGE_SIZE] if record is not None]
+        return {"records": page, "next": after + PAGE_SIZE if len(found) > PAGE_SIZE else None}
 
     def _records(self) -> Iterator[dict[str, object] | None]:
         for owner in self._replication.replicas.owners.values():
             for entry in owner.copy:
                 if entry.phase is Phase.OVER:
-                    yield self._shown(entry)
+                    yield self._public_fields(entry)
 
-    def _shown(self, entry: Entry) -> dict[str, object] | None:
+    def _public_fields(self, entry: Entry) -> dict[str, object] | None:
         try:
-            held = decode(entry.data)
+            record = decode(entry.data)
         except ValueError:
             COUNTERS.add("records.unreadable")
             return None
-        shown = msgspec.structs.asdict(held)
-        del shown["sides"]
-        return shown
+        fields = msgspec.structs.asdict(record)
+        del fields["sides"]
+        return fields
 
-    # --- what the core tells ---
+    # --- notifications from the core ---
 
     def call_offered(self, offer: Offer, at: datetime) -> None:
-        """A call has come. Written behind its set-up, which takes longer."""
-        held = CallRecord(
-            offer.name, offer.call_class, offer.number, micros(at), reference=offer.reference[:MAX_REFERENCE]
+        """A call has arrived. Its record is written while the set-up, which takes longer, goes on."""
+        record = CallRecord(
+            offer.name,
+            offer.call_class,
+            offer.number,
+            micros(at),
+            reference=offer.reference[:MAX_REFERENCE_LENGTH],
         )
-        self._held[offer.name] = self._hold(Phase.TAKEN, held), held
+        self._active[offer.name] = self._replicate(Phase.TAKEN, record), record
 
-    def call_rejected(self, name: str, outcome: str, attempts: int, server: str, answer: Then) -> None:
-        """It is refused or has failed: its caller is told once its record is safe, or the wait is over."""
-        known = self._held.pop(name, None)
+    def call_rejected(self, name: str, outcome: str, attempts: int, server: str, answer: Callback) -> None:
+        """Refused or failed: the caller is answered once the record is durable or the wait is over."""
+        known = self._active.pop(name, None)
         if known is None:
             answer()
             return
-        shard, held = known
+        shard, record = known
         now = micros(self._loop.clock.now())
-        held = replace(held, answered_us=now, ended_us=now, outcome=outcome, attempts=attempts, server=server)
-        self._finish(shard, held, lambda _: answer())
+        record = replace(
+            record, answered_us=now, ended_us=now, outcome=outcome, attempts=attempts, server=server
+        )
+        self._complete(shard, record, lambda _: answer())
 
     def call_ended(self, name: str, how: str) -> None:
-        """A call that stood has come to its end: written behind that."""
-        known = self._held.pop(name, None)
+        """An established call has ended: its record is written afterwards, nobody waits for it."""
+        known = self._active.pop(name, None)
         if known is not None:
-            shard, held = known
+            shard, record = known
             now = micros(self._loop.clock.now())
-            self._finish(shard, replace(held, ended_us=now, outcome=how, sides=()))
+            self._complete(shard, replace(record, ended_us=now, outcome=how, sides=()))
 
     def call_forgotten(self, name: str, attempts: int, server: str) -> None:
-        """The core has forgotten it; where nothing else was said of its end, its caller has given it up."""
-        known = self._held.pop(name, None)
+        """The core has forgotten the call; if no other end was reported, its caller has given it up."""
+        known = self._active.pop(name, None)
         if known is not None:
-            shard, held = known
+            shard, record = known
             now = micros(self._loop.clock.now())
-            self._finish(
-                shard, replace(held, ended_us=now, outcome="given up", attempts=attempts, server=server)
+            self._complete(
+                shard, replace(record, ended_us=now, outcome="given up", attempts=attempts, server=server)
             )
 
-    # --- what the front tells ---
+    # --- notifications from the front ---
 
     def call_established(
-        self, name: str, server: str, attempts: int, sides: tuple[DialogState, ...], then: Then
+        self, name: str, server: str, attempts: int, sides: tuple[DialogState, ...], then: Callback
     ) -> None:
-        """A call server has answered: ``then`` acknowledges that and tells the caller."""
-        known = self._held.get(name)
+        """A call server has answered: ``then`` acknowledges the answer and passes it to the caller."""
+        known = self._active.get(name)
         if known is None:
             then()
             return
-        shard, held = known
-        held = replace(
-            held, answered_us=micros(self._loop.clock.now()), outcome="stands", attempts=attempts,
+        shard, record = known
+        record = replace(
+            record, answered_us=micros(self._loop.clock.now()), outcome="stands", attempts=attempts,
             server=server, sides=sides,
         )  # fmt: skip
-        self._held[name] = self._hold(Phase.STANDS, held, shard, lambda _: then()), held
+        self._active[name] = self._replicate(Phase.STANDS, record, shard, lambda _: then()), record
 
-    # --- what the copies tell ---
+    # --- notifications from the replicas ---
 
     def taken_over(self, shard: ShardId, entry: Entry, done: Callable[[bytes], None]) -> None:
-        """A dead border controller's call: release its sides, complete its record."""
+        """A call of a failed border controller: release both of its dialogs and complete its record."""
         self.inherits(shard, (entry.key,))
         try:
-            held = decode(entry.data)
+            record = decode(entry.data)
         except ValueError as error:
             COUNTERS.add("records.unreadable")
             log(f"a record of {entry.key} cannot be read: {error}", "records.unreadable")
             done(entry.data)
             return
-        for side in held.sides:
+        for side in record.sides:
             COUNTERS.add("records.released")
             self._front.release_for(side, CUT)
         COUNTERS.add("records.finished")
-        how = "its owner died" if held.sides else "its owner died before an answer"
+        how = "its owner died" if record.sides else "its owner died before an answer"
         done(encode(replace(
-            held, ended_us=micros(self._loop.clock.now()), outcome=how, finished_by=self._name, sides=()
+            record, ended_us=micros(self._loop.clock.now()), outcome=how, finished_by=self._name, sides=()
         )))  # fmt: skip
 
     def inherits(self, shard: ShardId, keys: Collection[str]) -> None:
-        """Complete records of a dead one: they are kept as long as our own."""
+        """Completed records of a failed member: they are kept as long as our own."""
         now = self._loop.clock.now()
-        self._complete += [(now, key, shard) for key in keys]
+        self._completed += [(now, key, shard) for key in keys]
 
     def let_go(self, entry: Entry) -> None:
-        """Another member has this call of ours: it released it, and we let go of it, without a record."""
+        """Another member has taken over this call of ours and released it: end it here, without a record."""
         COUNTERS.add("records.let_go")
-        self._held.pop(entry.key, None)
+        self._active.pop(entry.key, None)
         self._switch.terminate(entry.key)
 
     def goes_on(self, entry: Entry) -> None:
-        """Nobody else ever heard of this one: it is held anew, in the shard that we have now."""
-        known = self._held.get(entry.key)
+        """No other member has this call: store it again, in the shard that we own now."""
+        known = self._active.get(entry.key)
         if known is None:
             return
-        held = known[1]
-        self._held[entry.key] = self._hold(Phase.STANDS if held.sides else Phase.TAKEN, held), held
+        record = known[1]
+        self._active[entry.key] = (
+            self._replicate(Phase.STANDS if record.sides else Phase.TAKEN, record),
+            record,
+        )
 
-    # --- keeping ---
+    # --- storage ---
 
-    def _hold(
-        self, phase: Phase, held: CallRecord, shard: ShardId | None = None,
+    def _replicate(
+        self, phase: Phase, record: CallRecord, shard: ShardId | None = None,
         then: Callable[[bool], None] | None = None,
     ) -> ShardId:  # fmt: skip
-        data = encode(held)
+        data = encode(record)
         if len(data) > MAX_DATA:
-            # Routes without measure: the record is worth more than a release that a survivor could send.
+            # Unbounded route sets: the record is worth more than the release that a survivor could send.
             COUNTERS.add("records.too_long")
-            data = encode(replace(held, sides=(), number=held.number[:64]))
-        return self._replication.hold(held.name, phase, data, then, shard)
+            data = encode(replace(record, sides=(), number=record.number[:64]))
+        return self._replication.hold(record.name, phase, data, then, shard)
 
-    def _finish(self, shard: ShardId, held: CallRecord, then: Callable[[bool], None] | None = None) -> None:
+    def _complete(
+        self, shard: ShardId, record: CallRecord, then: Callable[[bool], None] | None = None
+    ) -> None:
         COUNTERS.add("records.complete")
-        where = self._hold(Phase.OVER, held, shard, then)
-        self._complete.append((self._loop.clock.now(), held.name, where))
+        record_shard = self._replicate(Phase.OVER, record, shard, then)
+        self._completed.append((self._loop.clock.now(), record.name, record_shard))
 
     def _sweep(self) -> None:
-        """Records that were kept for long enough go."""
+        """Drops records that have been kept for ``keep_for``."""
         now = self._loop.clock.now()
-        for _ in range(min(SWEPT_AT_ONCE, len(self._complete))):
-            at, name, shard = self._complete[0]
+        for _ in range(min(MAX_SWEPT, len(self._completed))):
+            at, name, shard = self._completed[0]
             if now - at < self._keep_for:
                 break
-            self._complete.popleft()
+            self._completed.popleft()
             self._replication.hold(name, Phase.DROPPED, b"", None, shard)
-        self._loop.call_later(SWEEP_EVERY, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL, self._sweep)
--- a/reedmount/records/record.py
+++ b/reedmount/records/record.py
@@ -1,4 +1,4 @@
-"""A call's record and its dialogs, as they are held and copied. Fields are only ever added at the end."""
+"""A call's record and its dialogs, as stored and replicated. New fields are only ever added at the end."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CallRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One call. Times are Unix microseconds, 0 where it did not come to that."""
+    """One call. Times are Unix microseconds, 0 if the call did not get that far."""
 
     name: str
     call_class: str
@@ -16,25 +16,25 @@
     began_us: int
     answered_us: int = 0
     ended_us: int = 0
-    outcome: str = ""  # stands, refused, failed, given up; then how a call that stood came to its end
+    outcome: str = ""  # stands, refused, failed, given up; for an established call then how it ended
     attempts: int = 0
     server: str = ""
-    finished_by: str = ""  # who completed the record, where that was not its owner
-    sides: tuple[DialogState, ...] = ()  # the caller's, the call server's, while it stands
-    reference: str = ""  # what its caller calls it: the Call-ID of its INVITE
+    finished_by: str = ""  # the member that completed the record, if not its owner
+    sides: tuple[DialogState, ...] = ()  # towards the caller and the call server, while established
+    reference: str = ""  # the caller's identifier: the Call-ID of its INVITE
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(CallRecord)
 
 
-def encode(held: CallRecord) -> bytes:
-    """As it is kept."""
-    return _encode(held)
+def encode(record: CallRecord) -> bytes:
+    """Serializes a record for storage."""
+    return _encode(record)
 
 
 def decode(data: bytes) -> CallRecord:
-    """What was kept. Raises ValueError where it is no record."""
+    """Parses a stored record. Raises ValueError if the data is not one."""
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
--- a/reedmount/records/settings.py
+++ b/reedmount/records/settings.py
@@ -1,4 +1,4 @@
-"""The table ``[replicas]`` of an operator's file."""
+"""The ``[replicas]`` table of an operator's configuration file."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """How calls are held for others."""
+    """How call records are replicated and stored."""
 
-    faults: int = 1  # machines that may be lost at once with their disks
-    folder: Path | None = None  # of the store; None: copies are kept in memory alone
-    sync: bool = True  # whether a record is kept once it is on the disk, or once the system has it
-    wait: timedelta = timedelta(milliseconds=100)  # the longest that a caller waits for a promise
-    keep_for: timedelta = timedelta(hours=1)  # a complete record
+    faults: int = 1  # simultaneous machine losses, disks included, that are tolerated
+    folder: Path | None = None  # of the store; None: replicas are kept in memory only
+    sync: bool = True  # whether a record counts as durable after fsync, or already after write
+    wait: timedelta = timedelta(milliseconds=100)  # maximum time a caller waits for its record
+    keep_for: timedelta = timedelta(hours=1)  # of a completed record
     disk_faults: Faults = field(default_factory=Faults)  # for tests
 
 
 def read_replicas(table: Table, base: Path, members: int) -> ReplicaSettings:
-    """Read and check it. ``base``: the folder of the file; ``members``: how many the roster has. Raises
+    """Reads and checks the table. ``base``: the folder of the file; ``members``: the number of voters. Raises
     ConfigError naming the key."""
-    plain = ReplicaSettings()
-    faults = table.amount("faults", int, plain.faults, 0, MAX_FAULTS)
+    defaults = ReplicaSettings()
+    faults = table.amount("faults", int, defaults.faults, 0, MAX_FAULTS)
     if members < 2 * faults + 1:
-        wants = 2 * faults + 1
-        raise ConfigError(f"{table.path}.faults: {faults} need a roster of {wants}, it has {members}")
+        required = 2 * faults + 1
+        raise ConfigError(f"{table.path}.faults: {faults} need a roster of {required}, it has {members}")
     disk = table.table("disk_faults")
     try:
         disk_faults = Faults(
--- a/reedmount/store/__init__.py
+++ b/reedmount/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a member keeps on its disk: a log of records that knows which of them are sound."""
+"""A member's durable store: an append-only log of checksummed records that detects corruption."""
--- a/reedmount/store/disk.py
+++ b/reedmount/store/disk.py
@@ -1,4 +1,4 @@
-"""What the store asks of a disk, and the real one. Every error is an OSError with its errno."""
+"""The disk interface of the store and its file system implementation. Errors are OSErrors with an errno."""
 
 from __future__ import annotations
 
@@ -13,66 +13,66 @@
 
 
 class File(Protocol):
-    """A file that is only added to."""
+    """An append-only file."""
 
     def write(self, data: bytes) -> None:
-        """Add all of it; the system may hold it."""
+        """Append all of the data; the system may buffer it."""
 
     def sync(self) -> None:
-        """Have all that was added on the disk. After an error the file is not to be trusted with more."""
+        """Flush everything appended to the disk. After an error no more may be written to this file."""
 
     def close(self) -> None:
-        """Add no more."""
+        """Close the file."""
 
 
 class Disk(Protocol):
-    """A folder of files."""
+    """A directory of files."""
 
     def names(self) -> list[str]:
-        """The files there, in order."""
+        """The names of the files, sorted."""
 
     def read(self, name: str) -> bytes:
         """All of a file."""
 
-    def read_at(self, name: str, at: int, size: int) -> bytes:
-        """A part of it; less where it ends before."""
+    def read_at(self, name: str, offset: int, size: int) -> bytes:
+        """A range of a file; fewer bytes if the file ends earlier."""
 
     def create(self, name: str) -> File:
-        """A new file, in the folder for good."""
+        """Create a file; its directory entry is durable on return."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file's end off."""
+        """Truncate a file to ``size`` bytes."""
 
     def remove(self, name: str) -> None:
-        """Be rid of a file; one that is not there is no error."""
+        """Remove a file; a missing one is no error."""
 
 
 class RealFile:
-    """A file of the system."""
+    """A file of the file system."""
 
     def __init__(self, path: Path) -> None:
         self._fd = os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, 0o640)
 
     def write(self, data: bytes) -> None:
-        """Add all of it."""
+        """Append all of the data."""
         view = memoryview(data)
         while view:
             view = view[os.write(self._fd, view) :]
 
     def sync(self) -> None:
-        """fdatasync: the length is part of it."""
+        """Calls fdatasync, which also flushes the file's length."""
         os.fdatasync(self._fd)
 
     def close(self) -> None:
-        """Add no more."""
+        """Close the file."""
         os.close(self._fd)
 
 
 class RealDisk:
-    """A folder of the system, which no other process may use meanwhile."""
+    """A directory of the file system, locked against use by other processes."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises OSError where it cannot be had, StoreError where another process has it."""
+        """Raises OSError if it cannot be opened, StoreError if another process has locked it."""
         folder.mkdir(parents=True, exist_ok=True)
         self._folder = folder
         self._lock = os.open(folder / LOCK, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o640)
@@ -83,30 +83,30 @@
             raise StoreError(f"{folder}: another process uses it") from None
 
     def names(self) -> list[str]:
-        """The files there."""
+        """The names of the files, sorted, without the lock file."""
         return sorted(entry.name for entry in os.scandir(self._folder) if entry.name != LOCK)
 
     def read(self, name: str) -> bytes:
         """All of a file."""
         return (self._folder / name).read_bytes()
 
-    def read_at(self, name: str, at: int, size: int) -> bytes:
-        """A part of it."""
+    def read_at(self, name: str, offset: int, size: int) -> bytes:
+        """A range of a file."""
         with (self._folder / name).open("rb", buffering=0) as file:
-            return os.pread(file.fileno(), size, at)
+            return os.pread(file.fileno(), size, offset)
 
     def create(self, name: str) -> File:
-        """A new file; the folder is synced, or a crash could take the file with all that was synced in it."""
-        made = RealFile(self._folder / name)
+        """Create a file and sync the directory: otherwise a crash could lose the file and its synced data."""
+        created = RealFile(self._folder / name)
         try:
             self._sync_folder()
         except OSError:
-            made.close()
+            created.close()
             raise
-        return made
+        return created
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut its end off, for good."""
+        """Truncate a file and sync it."""
         fd = os.open(self._folder / name, os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -115,12 +115,12 @@
             os.close(fd)
 
     def remove(self, name: str) -> None:
-        """Be rid of it."""
+        """Remove a file and sync the directory."""
         (self._folder / name).unlink(missing_ok=True)
         self._sync_folder()
 
     def close(self) -> None:
-        """Let others have the folder."""
+        """Release the lock on the directory."""
         os.close(self._lock)
 
     def _sync_folder(self) -> None:
--- a/reedmount/store/faulty.py
+++ b/reedmount/store/faulty.py
@@ -1,7 +1,7 @@
-"""A disk that lies, by seed: for tests and the fault rig, off in production (``[store.faults]``).
+"""A disk with injected, seeded faults: for tests and the fault rig, off in production (``[store.faults]``).
 
-What a fault does is done to the real files, so that what is found after a kill is what such a disk would have
-left: what a lying sync has not written stays in this process and dies with it.
+Faults are applied to the real files, so that after a kill they are as such a disk would have left them: data
+that a false sync has not written stays in this process's memory and is lost with it.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What the disk does. All off where nothing is said.
+    """The faults to inject; by default none.
 
-    Raises ValueError naming the key where a figure is out of bounds.
+    Raises ValueError naming the key if a value is out of range.
     """
 
     seed: int = 1
-    lying_sync: float = 0.0  # 0 to 1: of the syncs, so many are acknowledged and not done
-    torn_write: float = 0.0  # of what waits then, a part goes to the disk all the same, cut anywhere
-    turned_bits: int = 0  # bits that turn in old records at each opening, 0 to 64
-    full_after: int = 0  # bytes, after which there is no room (ENOSPC); 0: never
-    unreadable: float = 0.0  # of the reads of a part, so many fail (EIO)
+    lying_sync: float = 0.0  # 0 to 1: share of the syncs that are acknowledged but not done
+    torn_write: float = 0.0  # share of those that write a prefix of random length
+    turned_bits: int = 0  # bits flipped in stored records at each opening, 0 to 64
+    full_after: int = 0  # bytes written before the disk is full (ENOSPC); 0: never
+    unreadable: float = 0.0  # share of the range reads that fail (EIO)
     read_only: bool = False
 
     def __post_init__(self) -> None:
-        """Check the bounds."""
+        """Check the ranges."""
         for key in ("lying_sync", "torn_write", "unreadable"):
             if not 0 <= getattr(self, key) <= 1:
                 raise ValueError(f"{key} is {getattr(self, key):g}, allowed are 0 to 1")
@@ -40,114 +40,114 @@
             raise ValueError("turned_bits is not of 0 to 64, or full_after below 0")
 
     @property
-    def any(self) -> bool:
-        """Whether it does anything."""
-        plain = Faults(self.seed)
-        return self != plain
+    def enabled(self) -> bool:
+        """Whether any fault is enabled."""
+        defaults = Faults(self.seed)
+        return self != defaults
 
 
 class FaultyFile:
-    """A file on such a disk."""
+    """A file on a faulty disk."""
 
     def __init__(self, disk: FaultyDisk, file: File) -> None:
         self._disk, self._file = disk, file
-        self._waiting = bytearray()  # acknowledged, and not on the disk
+        self._buffer = bytearray()  # acknowledged but not on the disk
 
     def write(self, data: bytes) -> None:
-        """Take it, unless there is no room."""
-        self._disk.take_room(len(data))
-        self._waiting += data
+        """Buffer the data; raises ENOSPC if the disk is full."""
+        self._disk.reserve_space(len(data))
+        self._buffer += data
 
     def sync(self) -> None:
-        """Do it, or say so and do nothing, or a part of it."""
+        """Sync, or by fault report success after writing nothing or only a part."""
         faults, rng = self._disk.faults, self._disk.rng
         if rng.random() >= faults.lying_sync:
-            self._write(len(self._waiting))
+            self._write(len(self._buffer))
             self._file.sync()
             return
         COUNTERS.add("store.faults.lying_sync")
         if rng.random() < faults.torn_write:
             COUNTERS.add("store.faults.torn_write")
-            self._write(rng.randrange(len(self._waiting) + 1))
+            self._write(rng.randrange(len(self._buffer) + 1))
 
     def close(self) -> None:
-        """Whole, as the system would have it some time later."""
-        self._write(len(self._waiting))
+        """Write the buffer in full, as the system would write it back some time later, and close."""
+        self._write(len(self._buffer))
         self._file.close()
 
     def _write(self, size: int) -> None:
         if size:
-            self._file.write(bytes(self._waiting[:size]))
-            del self._waiting[:size]
+            self._file.write(bytes(self._buffer[:size]))
+            del self._buffer[:size]
 
 
 class FaultyDisk:
-    """A real folder behind such a disk."""
+    """A real directory with injected faults."""
 
     def __init__(self, disk: Disk, folder: Path, faults: Faults) -> None:
         self._disk, self._folder, self.faults = disk, folder, faults
         self.rng = random.Random(faults.seed)
         self._written = 0
-        self._turn_bits()
+        self._flip_bits()
 
-    def take_room(self, size: int) -> None:
-        """Raises ENOSPC where that was too much."""
+    def reserve_space(self, size: int) -> None:
+        """Count bytes to be written; raises ENOSPC once the limit is exceeded."""
         self._written += size
         if self.faults.full_after and self._written > self.faults.full_after:
             COUNTERS.add("store.faults.full")
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def names(self) -> list[str]:
-        """The files there."""
+        """The names of the files, sorted."""
         return self._disk.names()
 
     def read(self, name: str) -> bytes:
         """All of a file."""
         return self._disk.read(name)
 
-    def read_at(self, name: str, at: int, size: int) -> bytes:
-        """A part of it, or EIO."""
+    def read_at(self, name: str, offset: int, size: int) -> bytes:
+        """A range of a file; raises EIO by fault."""
         if self.rng.random() < self.faults.unreadable:
             COUNTERS.add("store.faults.unreadable")
             raise OSError(errno.EIO, os.strerror(errno.EIO))
-        return self._disk.read_at(name, at, size)
+        return self._disk.read_at(name, offset, size)
 
     def create(self, name: str) -> File:
-        """A new file, or EROFS."""
-        self._writable()
+        """Create a file; raises EROFS by fault."""
+        self._require_writable()
         return FaultyFile(self, self._disk.create(name))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file's end off, or EROFS."""
-        self._writable()
+        """Truncate a file; raises EROFS by fault."""
+        self._require_writable()
         self._disk.truncate(name, size)
 
     def remove(self, name: str) -> None:
-        """Be rid of a file, or EROFS."""
-        self._writable()
+        """Remove a file; raises EROFS by fault."""
+        self._require_writable()
         self._disk.remove(name)
 
-    def _writable(self) -> None:
+    def _require_writable(self) -> None:
         if self.faults.read_only:
             COUNTERS.add("store.faults.read_only")
             raise OSError(errno.EROFS, os.strerror(errno.EROFS))
 
-    def _turn_bits(self) -> None:
-        """In whatever lies there: an old record turns to other bytes."""
+    def _flip_bits(self) -> None:
+        """Flip random bits of existing segments, as bit rot in old records does."""
         files = [self._folder / name for name in self._disk.names() if name.endswith(".log")]
         files = [file for file in files if file.stat().st_size]
         for _ in range(self.faults.turned_bits if files else 0):
             file = self.rng.choice(files)
             with file.open("r+b") as opened:
-                at = self.rng.randrange(file.stat().st_size)
-                opened.seek(at)
+                offset = self.rng.randrange(file.stat().st_size)
+                opened.seek(offset)
                 byte = opened.read(1)[0]
-                opened.seek(at)
+                opened.seek(offset)
                 opened.write(bytes([byte ^ 1 << self.rng.randrange(8)]))
             COUNTERS.add("store.faults.turned_bits")
 
 
 def disk_of(folder: Path, faults: Faults | None = None) -> Disk:
-    """The real disk, or with faults the one that lies. Raises OSError, StoreError."""
+    """The real disk, or with faults enabled the faulty one. Raises OSError, StoreError."""
     disk = RealDisk(folder)
-    return FaultyDisk(disk, folder, faults) if faults is not None and faults.any else disk
+    return FaultyDisk(disk, folder, faults) if faults is not None and faults.enabled else disk
--- a/reedmount/store/log.py
+++ b/reedmount/store/log.py
@@ -1,7 +1,7 @@
-"""The log of a store: segments, numbers, where each key's last record lies, and what is not on the disk yet.
+"""The log of a store: segments, sequence numbers, the index of live records, and records not yet durable.
 
-It reads by itself and writes nothing: whoever owns it takes batches (``next_batch``), has them written and
-synced where that keeps nobody waiting, and says how that went (``done``, ``failed``). No thread, no clock.
+It reads the disk but does not write records: its owner takes batches (``next_batch``), has them written and
+synced off the main thread, and reports the result (``done``, ``failed``). It has no thread and no clock.
 """
 
 from __future__ import annotations
@@ -17,150 +17,154 @@
 from reedmount.core.checks import COUNTERS, invariant
 from reedmount.store.disk import Disk
 from reedmount.store.frame import (
-    HEAD,
     MARKER,
     MAX_KEY,
     MAX_VALUE,
-    SEGMENT_HEAD,
+    RECORD_HEADER,
+    SEGMENT_HEADER,
     Kind,
     Record,
-    SegmentHead,
+    SegmentHeader,
     StoreError,
     decode,
-    decode_head,
+    decode_header,
     encode,
-    encode_head,
+    encode_header,
 )  # fmt: skip
-from reedmount.store.recovery import Examined, Gap, examine
+from reedmount.store.recovery import Gap, SegmentScan, scan_segment
 
-MAX_SEGMENT = 16 << 20  # bytes: the next record goes into another one
-MAX_BATCH = 1 << 20
-MAX_PENDING = 64 << 20  # bytes that are not on the disk: more is not taken
-CHUNK = 256 << 10  # of a segment that is written anew, between two looks at the rest of the program
-AHEAD = HEAD.size + MAX_KEY + MAX_VALUE + len(MARKER)  # the longest record that may begin in it
-NAME = re.compile(r"(\d{12})-([0-9a-f]{16})\.log", re.ASCII)
-MIN_LIVE = 0.5  # of all bytes: below that the oldest segment is written anew
+MAX_SEGMENT = 16 << 20  # bytes, after which a new segment is begun
+MAX_BATCH = 1 << 20  # bytes
+MAX_PENDING = 64 << 20  # bytes not yet durable; puts beyond that are refused
+COMPACTION_CHUNK = 256 << 10  # bytes compacted before control returns to the event loop
+READ_AHEAD = RECORD_HEADER.size + MAX_KEY + MAX_VALUE + len(MARKER)  # the longest record, for a chunk's last
+SEGMENT_NAME = re.compile(r"(\d{12})-([0-9a-f]{16})\.log", re.ASCII)
+MIN_LIVE_SHARE = 0.5  # of all bytes: below that the oldest segment is compacted
 
 
-class Unsound(Exception):
-    """A record lies there and is not what was written. It is not served; copies may have it."""
+class CorruptRecord(Exception):
+    """A stored record cannot be read or is not what was written. It is not returned; replicas may have it."""
 
 
-class Place(msgspec.Struct, frozen=True, gc=False):
-    """Where a record lies; ``segment`` is the serial of its file. The collector is spared one a key."""
+class RecordLocation(msgspec.Struct, frozen=True, gc=False):
+    """The location of a record; ``segment`` is the serial of its file.
+
+    There is one for each key: ``gc=False`` keeps them out of the garbage collector's work.
+    """
 
     number: int
     segment: int
-    at: int
+    offset: int
     size: int
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file."""
+    """One segment file."""
 
-    serial: int  # never used again, also where its making failed
+    serial: int  # never reused, even if the creation of the file failed
     store: bytes
     size: int
-    live: int = 0  # bytes of records that still hold
-    condemned: int | None = None  # written anew up to here: it goes when that is on the disk
+    live: int = 0  # bytes of live records
+    removable_after: int | None = None  # removable once this sequence number is durable
 
     @property
     def name(self) -> str:
-        """Of its file; they sort as their serials do."""
+        """The file name; names sort in the order of the serials."""
         return f"{self.serial:012d}-{self.store.hex()}.log"
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What is to be written and synced, in this order; then files that may go."""
+    """Data to write and sync, in this order; then files to remove."""
 
-    segment: str  # "" where there is nothing to write
-    head: bytes | None  # of a file that is to be made first
+    segment: str  # file name; "" if there is nothing to write
+    header: bytes | None  # header of a segment to create first
     data: bytes
-    last: int  # number of the last record in it
+    last: int  # sequence number of its last record
     remove: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
-class Opened:
-    """What was found at the opening."""
+class RecoveryResult:
+    """The result of recovery when the store was opened."""
 
-    fresh: bool = True  # nothing lay there: a new store, or a lost disk
+    fresh: bool = True  # the disk was empty: a new store, or a lost disk
     records: int = 0
-    torn: int = 0  # bytes
+    torn: int = 0  # bytes of the torn tail
     gaps: list[Gap] = field(default_factory=list)
 
     @property
     def whole(self) -> bool:
-        """Whether every number is there that was known to be written; a lying sync does not show here."""
+        """Whether no sequence number is missing; data lost at the end by a false sync is not detected."""
         return not self.gaps
 
 
 class Log:
-    """One store. Keys are bytes; of each the last record counts."""
+    """One store. Keys are bytes; the last record of each key is the valid one."""
 
-    def __init__(self, disk: Disk, segment_most: int = MAX_SEGMENT) -> None:
-        self._disk, self._most = disk, segment_most
+    def __init__(self, disk: Disk, max_segment: int = MAX_SEGMENT) -> None:
+        self._disk, self._max_segment = disk, max_segment
         self.store = os.urandom(8)
         self.term = 1
-        self.opened = Opened()
-        self.durable = 0  # the last number that is on the disk, and all before it
-        self._number = self._serial = 1  # of the next record, of the next file
-        self._index: dict[bytes, Place] = {}
-        self._segments: dict[int, Segment] = {}  # the oldest first
+        self.opened = RecoveryResult()
+        self.durable = 0  # sequence number up to which all records are on the disk
+        self._number = self._serial = 1  # of the next record and the next segment
+        self._index: dict[bytes, RecordLocation] = {}
+        self._segments: dict[int, Segment] = {}  # oldest first
         self._active: Segment | None = None
-        self._queue: deque[tuple[Record, bytes]] = deque()  # not handed out
-        self._out: list[tuple[Record, bytes]] = []  # handed out, not known to be on the disk
+        self._queue: deque[tuple[Record, bytes]] = deque()  # not yet in a batch
+        self._in_batch: list[tuple[Record, bytes]] = []  # in the current batch
         self._batch: Batch | None = None
-        self._fresh: dict[bytes, tuple[int, bytes]] = {}  # number and value of puts in either
+        self._unwritten: dict[bytes, tuple[int, bytes]] = {}  # sequence number and value of puts in either
         self._pending = 0  # bytes in both
 
     # --- opening ---
 
-    def open(self) -> Opened:
-        """Read all that lies there. Raises OSError, StoreError."""
+    def open(self) -> RecoveryResult:
+        """Recovers all segments. Raises OSError, StoreError."""
         for _ in self.opening():
             pass
         return self.opened
 
     def opening(self) -> Iterator[None]:
-        """The same, a segment at a time."""
+        """The same as ``open``, one segment per step."""
         names = [name for name in self._disk.names() if name.endswith(".log")]
         for name in names:
-            self._read(name, name == names[-1])
+            self._recover_segment(name, name == names[-1])
             yield
         self.durable = self._number - 1
 
-    def _read(self, name: str, newest: bool) -> None:
-        named = NAME.fullmatch(name)
-        if named is None:
-            raise StoreError(f"{name} is no segment")
-        # The store is known by the names, which outlive what turns inside the files.
-        store = bytes.fromhex(named[2])
+    def _recover_segment(self, name: str, newest: bool) -> None:
+        match = SEGMENT_NAME.fullmatch(name)
+        if match is None:
+            raise StoreError(f"{name} is no segment file")
+        # The store id is taken from the file name, which corruption inside the file does not affect.
+        store = bytes.fromhex(match[2])
         if not self.opened.fresh and store != self.store:
             raise StoreError(f"{name} is of another store")
         self.store, self.opened.fresh = store, False
         data = memoryview(self._disk.read(name))
-        head = decode_head(data)
-        if head is not None and head.store == store:
-            self.term = max(self.term, head.term + 1)
+        header = decode_header(data)
+        if header is not None and header.store == store:
+            self.term = max(self.term, header.term + 1)
         elif not newest:
-            self._lost(Gap(0, SEGMENT_HEAD.size, None, self._number, self._number - 1))
-        segment = Segment(int(named[1]), store, len(data))
+            self._add_gap(Gap(0, SEGMENT_HEADER.size, None, self._number, self._number - 1))
+        segment = Segment(int(match[1]), store, len(data))
         self._serial = segment.serial + 1
-        first = head.first if head is not None else self._number
-        self._join(first)
-        found = examine(data, min(len(data), SEGMENT_HEAD.size), first, newest)
+        first = header.first if header is not None else self._number
+        self._continue_from(first)
+        found = scan_segment(data, min(len(data), SEGMENT_HEADER.size), first, newest)
         data.release()
-        self._take(segment, found)
+        self._index_records(segment, found)
         if newest and (found.torn or not found.records):
-            self._cut(segment, found)
+            self._truncate_tail(segment, found)
 
-    def _join(self, first: int) -> None:
-        """A segment begins with this number; the one before it may have ended in what does not check.
+    def _continue_from(self, first: int) -> None:
+        """Checks that a segment beginning with this sequence number continues the one before it.
 
-        Where a write or a sync had failed, its records were written anew in the next one: nothing is lost.
+        The earlier one may end in invalid data: after a failed write or sync, its records were written again
+        to the next segment, so nothing is lost.
         """
         last = self.opened.gaps[-1] if self.opened.gaps else None
         if last is not None and last.last is None:
@@ -169,26 +173,28 @@
                 self.opened.gaps.append(replace(last, last=first - 1))
                 self._number = first
         if first > self._number and self.opened.records:
-            self._lost(Gap(0, 0, None, self._number, first - 1))
+            self._add_gap(Gap(0, 0, None, self._number, first - 1))
         self._number = max(self._number, first)
 
-    def _take(self, segment: Segment, found: Examined) -> None:
+    def _index_records(self, segment: Segment, found: SegmentScan) -> None:
         for gap in found.gaps:
-            self._lost(gap)
+            self._add_gap(gap)
         if not found.records:
-            return  # a file of it that stays costs nothing
+            return  # a file left without records does no harm
         self._segments[segment.serial] = segment
-        for placed in found.records:
-            record = placed.record
-            self._bury(record.key)
+        for located in found.records:
+            record = located.record
+            self._unindex(record.key)
             if record.kind is Kind.PUT:
-                self._index[record.key] = Place(record.number, segment.serial, placed.at, placed.size)
-                segment.live += placed.size
+                self._index[record.key] = RecordLocation(
+                    record.number, segment.serial, located.offset, located.size
+                )
+                segment.live += located.size
         self.opened.records += len(found.records)
         self._number = max(self._number, found.records[-1].record.number + 1)
 
-    def _cut(self, segment: Segment, found: Examined) -> None:
-        """What a crash left behind the last sound record goes, or it looks corrupt at the next opening."""
+    def _truncate_tail(self, segment: Segment, found: SegmentScan) -> None:
+        """Removes the torn tail, which would be taken for corruption at the next opening."""
         self.opened.torn += found.torn
         COUNTERS.add("store.torn_bytes", found.torn)
         try:
@@ -198,60 +204,65 @@
             else:
                 self._disk.remove(segment.name)
         except OSError:
-            COUNTERS.add("store.not_cut")  # a read-only disk: the next opening finds it again
+            COUNTERS.add("store.not_cut")  # e.g. a read-only disk: the next opening tries again
 
-    def _lost(self, gap: Gap) -> None:
+    def _add_gap(self, gap: Gap) -> None:
         self.opened.gaps.append(gap)
         COUNTERS.add(f"store.corrupt.{gap.fault.value if gap.fault is not None else 'missing'}")
 
-    # --- what holds ---
+    # --- reading ---
 
     @property
     def newest(self) -> int:
-        """The number of the last record, on the disk or not."""
+        """The sequence number of the last record, durable or not."""
         return self._number - 1
 
     def __len__(self) -> int:
-        """How many keys there are."""
-        return len(self._index) + sum(key not in self._index for key in self._fresh)
+        """The number of keys."""
+        return len(self._index) + sum(key not in self._index for key in self._unwritten)
 
     def __contains__(self, key: bytes) -> bool:
-        """Whether there is one of this key."""
-        return key in self._fresh or key in self._index
+        """Whether the key has a value."""
+        return key in self._unwritten or key in self._index
 
     def __iter__(self) -> Iterator[bytes]:
-        """All keys, in no order that means anything; nothing may be put meanwhile."""
+        """All keys, in no particular order; the log must not be changed during the iteration."""
         yield from self._index
-        yield from (key for key in self._fresh if key not in self._index)
+        yield from (key for key in self._unwritten if key not in self._index)
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, None where there is none. Raises Unsound where what lies there is not what was written,
-        or cannot be read: the record is forgotten, so that it is not taken for the latest again."""
-        fresh = self._fresh.get(key)
-        if fresh is not None:
-            return fresh[1]
-        place = self._index.get(key)
-        if place is None:
+        """The value of a key, or None.
+
+        Raises CorruptRecord if the record cannot be read, or is not what was written: then it leaves the
+        index, so that it is not taken for the latest again.
+        """
+        unwritten = self._unwritten.get(key)
+        if unwritten is not None:
+            return unwritten[1]
+        location = self._index.get(key)
+        if location is None:
             return None
         try:
-            read = decode(self._disk.read_at(self._segments[place.segment].name, place.at, place.size))
+            decoded = decode(
+                self._disk.read_at(self._segments[location.segment].name, location.offset, location.size)
+            )
         except OSError as error:
             COUNTERS.add("store.unreadable")
-            raise Unsound(f"{error.strerror}") from error  # it may be readable the next time
-        if isinstance(read, tuple) and (read[0].number, read[0].key) == (place.number, key):
-            return read[0].value
+            raise CorruptRecord(f"{error.strerror}") from error  # may succeed the next time
+        if isinstance(decoded, tuple) and (decoded[0].number, decoded[0].key) == (location.number, key):
+            return decoded[0].value
         COUNTERS.add("store.corrupt.read")
-        self._bury(key)
-        raise Unsound(f"record {place.number}")
+        self._unindex(key)
+        raise CorruptRecord(f"record {location.number}")
 
     # --- writing ---
 
     def put(self, key: bytes, value: bytes) -> int | None:
-        """Have this value of a key; its number. None where too much waits for the disk already."""
+        """Sets the value of a key; returns the sequence number, None if too much is waiting for the disk."""
         return self._add(Kind.PUT, key, value) if self._has_room() else None
 
     def delete(self, key: bytes) -> int | None:
-        """Have none; None where there was none, or too much waits."""
+        """Deletes a key; returns None if it has no value, or too much is waiting for the disk."""
         return self._add(Kind.DELETE, key, b"") if key in self and self._has_room() else None
 
     def _has_room(self) -> bool:
@@ -266,135 +277,140 @@
         self._number += 1
         self._pending += len(data)
         self._queue.append((record, data))
-        self._bury(key)
+        self._unindex(key)
         if kind is Kind.PUT:
-            self._fresh[key] = (record.number, value)
+            self._unwritten[key] = (record.number, value)
         else:
-            self._fresh.pop(key, None)
+            self._unwritten.pop(key, None)
         return record.number
 
-    def _bury(self, key: bytes) -> None:
-        place = self._index.pop(key, None)
-        if place is not None and place.segment in self._segments:
-            self._segments[place.segment].live -= place.size
+    def _unindex(self, key: bytes) -> None:
+        location = self._index.pop(key, None)
+        if location is not None and location.segment in self._segments:
+            self._segments[location.segment].live -= location.size
 
     def next_batch(self) -> Batch | None:
-        """What is to be written next, one batch at a time; None while one is out or nothing waits."""
-        removable = tuple(segment.name for segment in self._segments.values() if self._may_go(segment))
+        """The next batch to write; None while one is in progress or nothing is waiting."""
+        removable = tuple(segment.name for segment in self._segments.values() if self._is_removable(segment))
         if self._batch is not None or not self._queue and not removable:
             return None
-        name, head = "", None
+        name, header = "", None
         if self._queue:
-            if self._active is None or self._active.size >= self._most:
-                self._active = Segment(self._serial, self.store, SEGMENT_HEAD.size)
+            if self._active is None or self._active.size >= self._max_segment:
+                self._active = Segment(self._serial, self.store, SEGMENT_HEADER.size)
                 self._segments[self._serial] = self._active
                 self._serial += 1
-                head = encode_head(SegmentHead(self.store, self._queue[0][0].number, self.term))
+                header = encode_header(SegmentHeader(self.store, self._queue[0][0].number, self.term))
             name = self._active.name
         parts, size = [], 0
         while self._queue and size < MAX_BATCH:
             record, data = self._queue.popleft()
-            self._out.append((record, data))
+            self._in_batch.append((record, data))
             parts.append(data)
             size += len(data)
-        last = self._out[-1][0].number if self._out else self.durable
-        self._batch = Batch(name, head, b"".join(parts), last, removable)
+        last = self._in_batch[-1][0].number if self._in_batch else self.durable
+        self._batch = Batch(name, header, b"".join(parts), last, removable)
         return self._batch
 
-    def _may_go(self, segment: Segment) -> bool:
-        return segment.condemned is not None and segment.condemned <= self.durable
+    def _is_removable(self, segment: Segment) -> bool:
+        return segment.removable_after is not None and segment.removable_after <= self.durable
 
     def done(self, batch: Batch) -> None:
-        """It is on the disk."""
+        """The batch is on the disk."""
         if not invariant(batch is self._batch, "store_batch"):
             return
         self._batch = None
-        for record, data in self._out:
-            segment, fresh = self._active, self._fresh.get(record.key)
+        for record, data in self._in_batch:
+            segment, unwritten = self._active, self._unwritten.get(record.key)
             if segment is not None:
-                if fresh is not None and fresh[0] == record.number:
-                    del self._fresh[record.key]
-                    place = Place(record.number, segment.serial, segment.size, len(data))
-                    self._index[record.key] = place
+                if unwritten is not None and unwritten[0] == record.number:
+                    del self._unwritten[record.key]
+                    location = RecordLocation(record.number, segment.serial, segment.size, len(data))
+                    self._index[record.key] = location
                     segment.live += len(data)
                 segment.size += len(data)
             self._pending -= len(data)
-        self._out.clear()
+        self._in_batch.clear()
         self.durable = max(self.durable, batch.last)
         for name in batch.remove:
             self._segments.pop(int(name.partition("-")[0]), None)
 
     def failed(self, batch: Batch) -> None:
-        """It may be on the disk, in part or not at all. The file is left as it is, since nothing can be known
-        of what a failed sync has dropped; all of the batch goes out anew, in another one."""
+        """The batch may be on the disk in part, in full or not at all. Its file is not written again: the
+        contents after a failed sync are unknown. The whole batch is written again, to a new segment."""
         if not invariant(batch is self._batch, "store_batch"):
             return
         self._batch = None
-        self._queue.extendleft(reversed(self._out))
-        self._out.clear()
-        if self._active is not None and batch.head is not None:
-            self._active.condemned = 0  # nothing of it counts: whatever there is of the file may go
+        self._queue.extendleft(reversed(self._in_batch))
+        self._in_batch.clear()
+        if self._active is not None and batch.header is not None:
+            self._active.removable_after = 0  # holds no valid record: removable at once
         self._active = None
 
-    # --- upkeep ---
+    # --- compaction ---
 
     @property
     def size(self) -> int:
-        """How many lie there."""
+        """The bytes of all segments."""
         return sum(segment.size for segment in self._segments.values())
 
     @property
     def live(self) -> int:
-        """How many of them are records that still hold."""
+        """The bytes of live records."""
         return sum(segment.live for segment in self._segments.values())
 
     @property
-    def wants_compaction(self) -> bool:
-        """Whether the oldest segment is to be written anew: more than half of all bytes hold nothing, and the
-        disk takes what is written."""
-        plenty = self.live < MIN_LIVE * self.size and self._pending < MAX_PENDING // 2
-        return plenty and self._oldest() is not None
+    def needs_compaction(self) -> bool:
+        """Whether the oldest segment should be compacted: more than half of all bytes are dead, and the disk
+        keeps up with the writes."""
+        worthwhile = self.live < MIN_LIVE_SHARE * self.size and self._pending < MAX_PENDING // 2
+        return worthwhile and self._oldest() is not None
 
     def _oldest(self) -> Segment | None:
         for segment in self._segments.values():
-            if segment.condemned is None:
+            if segment.removable_after is None:
                 return None if segment is self._active else segment
         return None
 
     def compact(self) -> Iterator[None]:
-        """Write what holds of the oldest segment anew, a chunk at a time; its file goes once that is on the
-        disk. What is unsound in it is forgotten and counted.
+        """Rewrites the live records of the oldest segment, one chunk per step; its file is removed once they
+        are durable. Corrupt records in it leave the index and are counted.
 
-        Always the oldest: a delete in it has nothing older left to delete, and is dropped with it. Raises
-        OSError where it cannot be read: then it stays.
+        It is always the oldest segment: its tombstones have nothing older left to delete and are dropped.
+        Raises OSError if it cannot be read: then it stays.
         """
         segment = self._oldest()
         if segment is None:
             return
-        at = SEGMENT_HEAD.size
-        while segment.live > 0 and at < segment.size:
-            at += self._rewrite(segment, self._disk.read_at(segment.name, at, CHUNK + AHEAD), at)
+        offset = SEGMENT_HEADER.size
+        while segment.live > 0 and offset < segment.size:
+            offset += self._rewrite(
+                segment, self._disk.read_at(segment.name, offset, COMPACTION_CHUNK + READ_AHEAD), offset
+            )
             yield
         if segment.live > 0:
-            lost = [key for key, place in self._index.items() if place.segment == segment.serial]
+            lost = [key for key, location in self._index.items() if location.segment == segment.serial]
             for key in lost:
                 COUNTERS.add("store.corrupt.rewritten")
-                self._bury(key)
-        segment.condemned = self._number - 1
+                self._unindex(key)
+        segment.removable_after = self._number - 1
         COUNTERS.add("store.compacted")
 
     def _rewrite(self, segment: Segment, data: bytes, begin: int) -> int:
-        """Put the records of a chunk that still hold anew; how many bytes were looked at."""
-        at = 0
-        while at < CHUNK and at < len(data):
-            read = decode(data, at)
-            if not isinstance(read, tuple):
-                following = data.find(MARKER, at + 1)
-                at = following if following >= 0 else len(data)
+        """Rewrites the live records of a chunk; returns the number of bytes processed."""
+        offset = 0
+        while offset < COMPACTION_CHUNK and offset < len(data):
+            decoded = decode(data, offset)
+            if not isinstance(decoded, tuple):
+                following = data.find(MARKER, offset + 1)
+                offset = following if following >= 0 else len(data)
                 continue
-            record, end = read
-            place = self._index.get(record.key)
-            if place is not None and (place.segment, place.at) == (segment.serial, begin + at):
+            record, end = decoded
+            location = self._index.get(record.key)
+            if location is not None and (location.segment, location.offset) == (
+                segment.serial,
+                begin + offset,
+            ):
                 self._add(Kind.PUT, record.key, record.value)
-            at = end
-        return max(at, 1)
+            offset = end
+        return max(offset, 1)
--- a/reedmount/store/recovery.py
+++ b/reedmount/store/recovery.py
@@ -1,84 +1,84 @@
-"""What is sound in a segment, and what became of the rest: a torn end or a corrupt middle. No I/O."""
+"""Recovery scan of a segment: its valid records, corrupt ranges and torn tail. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from reedmount.store.frame import MARKER, Fault, Record, decode
+from reedmount.store.frame import MARKER, DecodeFault, Record, decode
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """A sound record and where it lies."""
+class LocatedRecord:
+    """A valid record and its location."""
 
     record: Record
-    at: int
+    offset: int
     size: int
 
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Bytes that hold no sound record, with the numbers that are missing for it."""
+    """A range without a valid record, with the sequence numbers that are missing because of it."""
 
-    at: int
-    size: int  # 0: the bytes are sound, numbers are missing between them
-    fault: Fault | None  # None: only the numbers
+    offset: int
+    size: int  # bytes; 0: no corrupt bytes, but sequence numbers are missing
+    fault: DecodeFault | None  # None: only sequence numbers are missing
     first: int
-    last: int | None  # None: not known from this segment alone
+    last: int | None  # None: cannot be determined from this segment alone
 
 
 @dataclass(slots=True)
-class Examined:
-    """A segment as it was found."""
+class SegmentScan:
+    """The result of scanning a segment."""
 
-    records: list[Placed] = field(default_factory=list)
+    records: list[LocatedRecord] = field(default_factory=list)
     gaps: list[Gap] = field(default_factory=list)
-    end: int = 0  # behind the last sound record
-    torn: int = 0  # bytes behind that, where they are what a crash leaves
+    end: int = 0  # offset after the last valid record
+    torn: int = 0  # bytes after that, if a crash explains them
 
 
-def examine(data: bytes | memoryview, begin: int, first: int, newest: bool) -> Examined:
-    """Look at all of a segment's bytes from ``begin`` on. ``first``: the number that its head promises.
+def scan_segment(data: bytes | memoryview, begin: int, first: int, newest: bool) -> SegmentScan:
+    """Scans a segment from the offset ``begin`` on. ``first``: the first sequence number, from its header.
 
-    What does not check and has nothing sound behind it is a torn end in the newest segment, which was written
-    to when the process died; in an older one it is corrupt, as that was whole once.
+    Invalid data with no valid record after it is a torn write in the newest segment, which was in use when
+    the process died; in an older one it is corruption, as that segment was once complete.
     """
-    found = Examined(end=begin)
-    at, expected = begin, first
-    while at < len(data):
-        read = decode(data, at)
-        if isinstance(read, Fault):
-            later = _next_sound(data, at, expected)
-            if later is None:
+    scan = SegmentScan(end=begin)
+    offset, expected = begin, first
+    while offset < len(data):
+        decoded = decode(data, offset)
+        if isinstance(decoded, DecodeFault):
+            following = _next_valid(data, offset, expected)
+            if following is None:
                 if newest:
-                    found.torn = len(data) - at
+                    scan.torn = len(data) - offset
                 else:
-                    found.gaps.append(Gap(at, len(data) - at, read, expected, None))
-                return found
-            sound, place = later
-            found.gaps.append(Gap(at, place - at, read, expected, sound.number - 1))
-            at, expected = place, sound.number
+                    scan.gaps.append(Gap(offset, len(data) - offset, decoded, expected, None))
+                return scan
+            valid, position = following
+            scan.gaps.append(Gap(offset, position - offset, decoded, expected, valid.number - 1))
+            offset, expected = position, valid.number
             continue
-        record, end = read
+        record, end = decoded
         if record.number < expected:
-            # An older record where a newer one belongs: a write that went to the wrong place, or came twice.
-            found.gaps.append(Gap(at, end - at, None, expected, expected - 1))
+            # A record older than expected: a misdirected or repeated write.
+            scan.gaps.append(Gap(offset, end - offset, None, expected, expected - 1))
         else:
             if record.number > expected:
-                found.gaps.append(Gap(at, 0, None, expected, record.number - 1))
-            found.records.append(Placed(record, at, end - at))
+                scan.gaps.append(Gap(offset, 0, None, expected, record.number - 1))
+            scan.records.append(LocatedRecord(record, offset, end - offset))
             expected = record.number + 1
-        at = found.end = end
-    return found
-
-
-def _next_sound(data: bytes | memoryview, at: int, expected: int) -> tuple[Record, int] | None:
-    """The next sound record that is newer than what was read so far, and its place."""
-    raw = bytes(data[at + 1 :])
-    place = raw.find(MARKER)
-    while place >= 0:
-        read = decode(raw, place)
-        if not isinstance(read, Fault) and read[0].number >= expected:
-            return read[0], at + 1 + place
-        place = raw.find(MARKER, place + 1)
+        offset = scan.end = end
+    return scan
+
+
+def _next_valid(data: bytes | memoryview, offset: int, expected: int) -> tuple[Record, int] | None:
+    """The next valid record that is not older than expected, and its offset."""
+    raw = bytes(data[offset + 1 :])
+    position = raw.find(MARKER)
+    while position >= 0:
+        decoded = decode(raw, position)
+        if not isinstance(decoded, DecodeFault) and decoded[0].number >= expected:
+            return decoded[0], offset + 1 + position
+        position = raw.find(MARKER, position + 1)
     return None
--- a/reedmount/store/writer.py
+++ b/reedmount/store/writer.py
@@ -1,4 +1,4 @@
-"""Batches written and synced on a thread of their own, so that no call waits for a disk."""
+"""Writes and syncs batches on a separate thread, so that no call waits for the disk."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from reedmount.store.disk import Disk, File
 from reedmount.store.log import Batch, Log
 
-TRY_AGAIN = timedelta(seconds=5)  # after a disk has failed
-LOOK_EVERY = timedelta(seconds=1)  # whether the log is to be compacted
+RETRY_INTERVAL = timedelta(seconds=5)  # after a disk error
+COMPACTION_CHECK_INTERVAL = timedelta(seconds=1)  # between two checks whether to compact the log
 
 
-class _Hand:
-    """What the thread has: the file that is written to. Nothing else of the program is touched there."""
+class _DiskThread:
+    """The disk thread's state: the file being written. The thread touches nothing else of the program."""
 
     def __init__(self, disk: Disk, sync: bool) -> None:
         self._disk, self._sync = disk, sync
         self._name = ""
         self._file: File | None = None
 
-    def do(self, batch: Batch) -> None:
-        """Write one batch, sync it, then let go of files that are not needed any more."""
+    def write(self, batch: Batch) -> None:
+        """Write and sync one batch, then remove the files that are no longer needed."""
         if batch.segment:
-            if batch.head is not None:
-                self.leave()
+            if batch.header is not None:
+                self.close_file()
                 self._file, self._name = self._disk.create(batch.segment), batch.segment
-                self._file.write(batch.head)
+                self._file.write(batch.header)
             if self._file is None or self._name != batch.segment:
                 raise OSError(f"{batch.segment} is not open")
             self._file.write(batch.data)
@@ -44,17 +44,18 @@
         for name in batch.remove:
             self._disk.remove(name)
 
-    def leave(self) -> None:
-        """Write no more to this file."""
+    def close_file(self) -> None:
+        """Close the current file."""
         file, self._file, self._name = self._file, None, ""
         if file is not None:
             file.close()
 
 
 class Writer:
-    """The owner of a log while the program runs: whoever puts something ``kick``s it.
+    """Drives a log while the program runs; call ``kick`` after adding records to it.
 
-    ``on_durable`` hears of each step of ``log.durable``; ``on_trouble`` whether the disk takes nothing now.
+    ``on_durable`` is called with each new value of ``log.durable``; ``on_trouble`` with True when the disk
+    starts to fail and with False when it works again.
     """
 
     def __init__(
@@ -66,67 +67,69 @@
         on_durable: Callable[[int], None] = lambda _: None,
         on_trouble: Callable[[bool], None] = lambda _: None,
     ) -> None:
-        """``sync``: whether a record is durable once it is on the disk, or once the system has it."""
+        """``sync``: whether a record counts as durable after fsync, or already after write."""
         self._loop, self._log = loop, log
         self._on_durable, self._on_trouble = on_durable, on_trouble
-        self._hand = _Hand(disk, sync)
+        self._disk_thread = _DiskThread(disk, sync)
         self._jobs: queue.SimpleQueue[Batch | None] = queue.SimpleQueue()
         self._results: deque[tuple[Batch, OSError | None]] = deque()
-        self._inside, self._outside = socket.socketpair()
-        self._inside.setblocking(False)
+        self._wake_receiver, self._wake_sender = socket.socketpair()
+        self._wake_receiver.setblocking(False)
         self._timer: Timer | None = None
         self.failing = False
         self._compacting = False
-        loop.watch(self._inside.fileno(), READ, self._ready)
-        self._looks = loop.background.every("store", LOOK_EVERY, self._look, Urgency.SWEEP)
-        self._thread = threading.Thread(target=self._work, name="store", daemon=True)
+        loop.watch(self._wake_receiver.fileno(), READ, self._on_results)
+        self._compaction_job = loop.background.every(
+            "store", COMPACTION_CHECK_INTERVAL, self._compact_if_needed, Urgency.SWEEP
+        )
+        self._thread = threading.Thread(target=self._run_thread, name="store", daemon=True)
         self._thread.start()
 
     def kick(self) -> None:
-        """Something waits: it goes out now, or with all that comes until the batch before it is done."""
+        """Start writing what is waiting; while a batch is in progress, it is collected for the next one."""
         if not self.failing:
             batch = self._log.next_batch()
             if batch is not None:
                 self._jobs.put(batch)
 
     def close(self) -> None:
-        """Write what was handed out, no more, and wait for that."""
-        self._looks.stop()
+        """Finish the batch in progress, without starting another, and stop the thread."""
+        self._compaction_job.stop()
         self._jobs.put(None)
         self._thread.join()
         if self._timer is not None:
             self._timer.cancel()
-        self._loop.unwatch(self._inside.fileno())
-        self._inside.close()
-        self._outside.close()
+        self._loop.unwatch(self._wake_receiver.fileno())
+        self._wake_receiver.close()
+        self._wake_sender.close()
 
     # --- the thread ---
 
-    def _work(self) -> None:
+    def _run_thread(self) -> None:
         while (batch := self._jobs.get()) is not None:
             error = None
             try:
-                self._hand.do(batch)
-            except OSError as found:
-                error = found
+                self._disk_thread.write(batch)
+            except OSError as raised:
+                error = raised
             self._results.append((batch, error))
-            self._outside.send(b"x")
+            self._wake_sender.send(b"x")
         with contextlib.suppress(OSError):
-            self._hand.leave()
+            self._disk_thread.close_file()
 
     # --- the loop ---
 
-    def _ready(self, _: int) -> None:
-        self._inside.recv(64)
+    def _on_results(self, _: int) -> None:
+        self._wake_receiver.recv(64)
         while self._results:
             batch, error = self._results.popleft()
             if error is None:
-                self._done(batch)
+                self._batch_done(batch)
             else:
-                self._failed(batch, error)
+                self._batch_failed(batch, error)
         self.kick()
 
-    def _done(self, batch: Batch) -> None:
+    def _batch_done(self, batch: Batch) -> None:
         COUNTERS.add("store.batches")
         COUNTERS.add("store.bytes", len(batch.data))
         if self.failing:
@@ -135,26 +138,26 @@
         self._log.done(batch)
         self._on_durable(self._log.durable)
 
-    def _failed(self, batch: Batch, error: OSError) -> None:
+    def _batch_failed(self, batch: Batch, error: OSError) -> None:
         COUNTERS.add(f"store.failed.{error.errno}")
-        log(f"the store's disk: {error}; tried again in {TRY_AGAIN.seconds} s", "store.failed")
+        log(f"writing to the store failed: {error}; retrying in {RETRY_INTERVAL.seconds} s", "store.failed")
         self._log.failed(batch)
         if not self.failing:
             self.failing = True
             self._on_trouble(True)
-        self._timer = self._loop.call_later(TRY_AGAIN, self._again)
+        self._timer = self._loop.call_later(RETRY_INTERVAL, self._retry)
 
-    def _again(self) -> None:
-        """One batch as a trial: ``failing`` stays until it has come through."""
+    def _retry(self) -> None:
+        """Try one batch; ``failing`` stays set until it succeeds."""
         batch = self._log.next_batch()
         if batch is not None:
             self._jobs.put(batch)
-        else:  # what failed was no more than a file that should go
+        else:  # only the removal of a file had failed
             self.failing = False
             self._on_trouble(False)
 
-    def _look(self) -> Slices:
-        if self._compacting or self.failing or not self._log.wants_compaction:
+    def _compact_if_needed(self) -> Slices:
+        if self._compacting or self.failing or not self._log.needs_compaction:
             return
         self._compacting = True
         try:
@@ -163,7 +166,7 @@
                 yield
         except OSError as error:
             COUNTERS.add("store.not_compacted")
-            log(f"the store's oldest segment: {error}", "store.not_compacted")
+            log(f"compaction of the store's oldest segment failed: {error}", "store.not_compacted")
         finally:
             self._compacting = False
         self.kick()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,23 +20,23 @@
 from reedmount.store.disk import LOCK, Disk, RealDisk
 from reedmount.store.faulty import Faults, FaultyDisk
 from reedmount.store.frame import (
-    HEAD,
     MARKER,
     MAX_VALUE,
-    SEGMENT_HEAD,
-    Fault,
+    RECORD_HEADER,
+    SEGMENT_HEADER,
+    DecodeFault,
     Kind,
     Record,
-    SegmentHead,
+    SegmentHeader,
     StoreError,
     decode,
-    decode_head,
+    decode_header,
     encode,
-    encode_head,
+    encode_header,
 )  # fmt: skip
-from reedmount.store.log import Batch, Log, Unsound
-from reedmount.store.recovery import examine
-from reedmount.store.writer import Writer, _Hand
+from reedmount.store.log import Batch, CorruptRecord, Log
+from reedmount.store.recovery import scan_segment
+from reedmount.store.writer import Writer, _DiskThread
 
 records = st.builds(
     Record, st.integers(0, 2**64 - 1), st.just(Kind.PUT), st.binary(min_size=1, max_size=255),
@@ -50,18 +50,18 @@
     assert decode(data) == (record, len(data))
     turned = bytearray(data)
     turned[at % len(data)] ^= 1 << bit
-    assert isinstance(decode(bytes(turned)), Fault)
-    assert isinstance(decode(data[: at % len(data)]), Fault)
+    assert isinstance(decode(bytes(turned)), DecodeFault)
+    assert isinstance(decode(data[: at % len(data)]), DecodeFault)
 
 
 def test_what_is_too_long_is_not_written_and_a_head_of_later_versions_is_refused() -> None:
     for key, value in ((b"", b""), (b"k" * 256, b""), (b"k", bytes(MAX_VALUE + 1))):
         with pytest.raises(ValueError, match="bytes"):
             encode(Record(1, Kind.PUT, key, value))
-    head = SegmentHead(bytes(8), 7, 2)
-    data = encode_head(head)
-    assert decode_head(data) == head and decode_head(data[:-1]) is None
-    assert decode_head(bytes([data[0] ^ 1]) + data[1:]) is None
+    head = SegmentHeader(bytes(8), 7, 2)
+    data = encode_header(head)
+    assert decode_header(data) == head and decode_header(data[:-1]) is None
+    assert decode_header(bytes([data[0] ^ 1]) + data[1:]) is None
 
 
 def written(count: int, first: int = 1) -> tuple[bytes, list[int]]:
@@ -83,7 +83,7 @@
     ends = [*places[1:], len(data)]
     turned = bytearray(data)
     turned[places[which] + place % (ends[which] - places[which])] ^= 0x10
-    found = examine(bytes(turned), 0, 1, newest)
+    found = scan_segment(bytes(turned), 0, 1, newest)
     numbers = [placed.record.number for placed in found.records]
     assert numbers == [number for number in range(1, count + 1) if number != which + 1]
     last = which == count - 1
@@ -98,7 +98,7 @@
 def test_an_end_that_was_cut_anywhere_is_torn_and_all_before_it_is_there(count: int, cut: int) -> None:
     data, places = written(count)
     cut %= len(data)
-    found = examine(data[:cut], 0, 1, newest=True)
+    found = scan_segment(data[:cut], 0, 1, newest=True)
     whole = [end for end in [*places[1:], len(data)] if end <= cut]
     assert len(found.records) == len(whole) and not found.gaps
     assert found.end + found.torn == cut
@@ -107,7 +107,7 @@
 def test_old_records_in_a_newer_place_and_missing_numbers_are_seen() -> None:
     one, _ = written(2)
     two, _ = written(2, first=7)
-    found = examine(one + one + two, 0, 1, newest=False)
+    found = scan_segment(one + one + two, 0, 1, newest=False)
     assert [placed.record.number for placed in found.records] == [1, 2, 7, 8]
     assert [(gap.first, gap.last) for gap in found.gaps] == [(3, 2), (3, 2), (3, 6)]
 
@@ -123,13 +123,13 @@
         self.disk: Disk = FaultyDisk(self._real, folder, faults) if faults is not None else self._real
         self.log = Log(self.disk, most)
         self.opened = self.log.open()
-        self._hand = _Hand(self.disk, sync=True)
+        self._hand = _DiskThread(self.disk, sync=True)
 
     def write(self) -> bool:
         """All that waits; whether the disk took it."""
         while (batch := self.log.next_batch()) is not None:
             try:
-                self._hand.do(batch)
+                self._hand.write(batch)
             except OSError:
                 self.log.failed(batch)
                 return False
@@ -162,7 +162,7 @@
                 held[key] = rng.randbytes(rng.randrange(90))
                 hand.log.put(key, held[key])
             assert hand.write()
-            if hand.log.wants_compaction:
+            if hand.log.needs_compaction:
                 for _ in hand.log.compact():
                     assert {key: hand.log.get(key) for key in hand.log} == held
                 hand.write()
@@ -190,7 +190,7 @@
     hand.log.put(b"a", b"1")
     hand.write()
     hand.kill()
-    (folder / name).write_bytes(encode_head(SegmentHead(bytes(8), 2, 1)))
+    (folder / name).write_bytes(encode_header(SegmentHeader(bytes(8), 2, 1)))
     with pytest.raises(StoreError, match=fault):
         Hand(folder)
 
@@ -204,7 +204,7 @@
     raw = bytearray(file.read_bytes())
     raw[raw.find(b"7" * 40)] ^= 1
     file.write_bytes(raw)
-    with pytest.raises(Unsound):
+    with pytest.raises(CorruptRecord):
         hand.log.get(b"k7")
     assert hand.log.get(b"k8") == b"8" * 40 and b"k7" not in hand.log
     hand.kill()
@@ -250,7 +250,7 @@
     assert trouble == [True] and COUNTERS[f"store.failed.{error}"] == before + 1
     assert log.get(b"a") == b"1" and not durable
     disk.faults = Faults()
-    writer._again()
+    writer._retry()
     for _ in range(200):
         loop.turn(timedelta(milliseconds=10))
         if durable:
@@ -264,7 +264,7 @@
     hand = Hand(folder, Faults(unreadable=1.0))
     hand.log.put(b"a", b"1")
     hand.write()
-    with pytest.raises(Unsound):
+    with pytest.raises(CorruptRecord):
         hand.log.get(b"a")
     assert isinstance(hand.disk, FaultyDisk)
     hand.disk.faults = Faults()
@@ -350,7 +350,7 @@
     def read(self, key: bytes) -> bytes | None:
         try:
             return self.hand.log.get(key)
-        except Unsound:
+        except CorruptRecord:
             assert self.turned or self.lied
             return None
 
@@ -371,5 +371,5 @@
 
 
 def test_the_bytes_of_a_record_are_what_the_page_says() -> None:
-    assert HEAD.size == 23 and SEGMENT_HEAD.size == 40
+    assert RECORD_HEADER.size == 23 and SEGMENT_HEADER.size == 40
     assert Batch("", None, b"", 0).remove == ()
