--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -170,7 +170,7 @@
             log.put(b"call-%08d" % number, record(number % 100))
             if number % 1000 == 999 or number == count - 1:
                 while (batch := log.next_batch()) is not None:
-                    hand.write(batch)
+                    hand.write_batch(batch)
                     log.done(batch)
         return
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
--- a/reedmount/peers/__init__.py
+++ b/reedmount/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership on the loop: one UDP socket, one timer, and whoever wants to hear of changes. No decision."""
+"""Drives the membership protocol on the event loop: UDP socket, timer, change callbacks; no decisions."""
--- a/reedmount/peers/member_handover.py
+++ b/reedmount/peers/member_handover.py
@@ -1,4 +1,4 @@
-"""The one place among the members that two processes of an upgrade share: when it changes hands."""
+"""Hands the member address over between the two processes of an upgrade."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from reedmount.peers.membership import Membership
 from reedmount.peers.settings import MembershipSettings
 
-TRY_AGAIN = timedelta(milliseconds=100)  # an address that another process has: below a probe's own period
+BIND_RETRY_INTERVAL = timedelta(milliseconds=100)  # for an address in use; below the probe interval
 
 
 class MemberHandover:
-    """One member, in whichever process has its address now. A process without it serves calls all the same.
+    """One member, run by the process that has its address. A process without it serves calls all the same.
 
-    Two processes that read one address would each get some of the answers and none all of them, so one at a
-    time has it: the old one until the new one has taken the clients, then the new one. Nothing is said of it
-    between the two: the old one closes its socket, the new one tries until it can bind. That holds as well
-    where either dies at any instant. The name is the same, so no leave is said; the new process is a new life
-    of the same member, which needs no other member to agree.
+    If two processes read one address, each would get only some of the responses. So one at a time has it: the
+    old one until the new one has taken over the clients, then the new one. The two exchange no messages about
+    it: the old one closes its socket, the new one retries until it can bind. This also works if either dies
+    at any time. The member name is the same, so no leave is announced; the new process is the same member with a
+    new boot id, which needs no agreement of other members.
     """
 
     def __init__(self, loop: Loop, settings: MembershipSettings) -> None:
-        """Raises OSError where the address can never be had; one that is in use is waited for."""
+        """Raises OSError if the address cannot be bound; if it is in use, binding is retried."""
         self._loop, self._settings = loop, settings
         self.membership: Membership | None = None
         self._wanted = True
@@ -33,15 +33,15 @@
         self._open()
 
     def hand_over(self, to_another: bool) -> None:
-        """Another process has the clients from now on, or (False) it has died and does no more."""
+        """Another process has taken over the clients, or (False) that process has died."""
         if to_another:
             self._close()
         elif not self._wanted:
             self._wanted = True
-            self._try()
+            self._retry_open()
 
     def leave(self) -> None:
-        """We end, and nobody has our place: say so, and let go of it."""
+        """Shut down without a successor: announce the leave and close the socket."""
         if self.membership is not None:
             self.membership.leave()
         self._close()
@@ -63,17 +63,17 @@
             if error.errno != errno.EADDRINUSE:
                 raise
             COUNTERS.add("members.seat.waits")
-            self._timer = self._loop.call_later(TRY_AGAIN, self._try)
+            self._timer = self._loop.call_later(BIND_RETRY_INTERVAL, self._retry_open)
         else:
             COUNTERS.add("members.seat.taken")
-            log(f"member {self._settings.name}: the address among the members is ours", "seat")
+            log(f"member {self._settings.name}: bound the member address", "seat")
 
-    def _try(self) -> None:
+    def _retry_open(self) -> None:
         self._timer = None
         if not self._wanted:
             return
         try:
             self._open()
-        except OSError as error:  # it was there before: no reason to end what serves calls
+        except OSError as error:  # it could be bound before: no reason to stop serving calls
             log(f"member {self._settings.name}: {error}", "seat.failed")
-            self._timer = self._loop.call_later(TRY_AGAIN, self._try)
+            self._timer = self._loop.call_later(BIND_RETRY_INTERVAL, self._retry_open)
--- a/reedmount/peers/membership.py
+++ b/reedmount/peers/membership.py
@@ -1,4 +1,4 @@
-"""The members of a group on the loop: datagrams in and out, one timer, views for the door, changes told."""
+"""Runs the membership protocol on the event loop: datagrams, one timer, admin views, change notifications."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 from reedmount.net.loop import READ, Loop
 from reedmount.peers.settings import MembershipSettings
 
-MAX_TURN = 64  # datagrams read in one turn of the loop
-MAX_HELD = 512  # that are read and not looked at yet; what comes beyond that is lost, as on the net
-SOON = timedelta(milliseconds=20)  # so long they and what is due may wait for calls
-PAGE = 256  # members in one answer at the door
-Hear = Callable[[Change | Stood], None]
+MAX_READS_PER_TURN = 64  # datagrams read per turn of the loop
+MAX_QUEUED = 512  # received datagrams waiting to be processed; more are dropped, as a network may do
+MAX_DELAY = timedelta(milliseconds=20)  # that received datagrams and due timers may wait for calls
+PAGE_SIZE = 256  # members in one response of the admin server
+ChangeCallback = Callable[[Change | Stood], None]
 
 
 class Membership:
-    """One member. Sockets and timers; what to say, and to whom, is decided in ``members/``.
+    """One member: its socket and timer. What is sent, and to whom, is decided in ``members/``.
 
-    Raises OSError where the address cannot be had. A datagram that cannot be sent is counted and lost, as
-    on the net: the protocol lives with that.
+    Raises OSError if the address cannot be bound. A datagram that cannot be sent is counted and lost, as on a
+    network: the protocol tolerates that.
     """
 
     def __init__(self, loop: Loop, settings: MembershipSettings) -> None:
@@ -50,71 +50,71 @@
             raise
         seed = int.from_bytes(os.urandom(8), "big")
         self.protocol = Protocol(
-            settings.timing, settings.group, settings.me(self._boot_id), settings.voter_sets,
+            settings.timing, settings.group, settings.own_record(self._boot_id), settings.voter_sets,
             settings.seed_addresses, seed, settings.nonvoters,
         )  # fmt: skip
-        self._held: deque[tuple[Address, bytes]] = deque()
-        self._looking = self._closed = False
-        self._told: list[Hear] = []
-        self._of_servers: list[Callable[[Told], None]] = []
-        self._number = 0  # of what was told at ``tell``: a reader sees what was lost
-        self.seed_discovery: object = None  # what looks for ways in, as long as we are there
+        self._received: deque[tuple[Address, bytes]] = deque()
+        self._processing = self._closed = False
+        self._change_callbacks: list[ChangeCallback] = []
+        self._report_callbacks: list[Callable[[Told], None]] = []
+        self._event_number = 0  # of the last event datagram: a reader detects losses by it
+        self.seed_discovery: object = None  # discovers seed addresses; kept alive by this reference
         self._timer: Timer | None = None
         self._timer_at: datetime | None = None
-        loop.watch(self._sock.fileno(), READ, self._ready)
-        self._do(self.protocol.start(loop.clock.now()))
+        loop.watch(self._sock.fileno(), READ, self._on_readable)
+        self._apply_outputs(self.protocol.start(loop.clock.now()))
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address it listens on."""
         host, port = self._sock.getsockname()[:2]
         return host, port
 
     @property
     def standing(self) -> Standing:
-        """Whether this member may decide for all."""
+        """Whether this member sees a quorum of the voters."""
         return self.protocol.standing
 
     @property
     def alive(self) -> int:
-        """How many members are alive as we see it, ourselves included."""
+        """The number of members that this one considers alive, itself included."""
         return self.protocol.alive
 
-    def on_change(self, hear: Hear) -> None:
-        """Have somebody hear of each change of a member, and of our standing."""
-        self._told.append(hear)
+    def on_change(self, callback: ChangeCallback) -> None:
+        """Add a callback for each change of a member and of this member's quorum state."""
+        self._change_callbacks.append(callback)
 
-    def on_facts(self, hear: Callable[[Told], None]) -> None:
-        """Have somebody hear of what others have seen of call servers."""
-        self._of_servers.append(hear)
+    def on_facts(self, callback: Callable[[Told], None]) -> None:
+        """Add a callback for the call server observations of other members."""
+        self._report_callbacks.append(callback)
 
-    def saw(self, fact: Fact) -> None:
-        """We saw this of a call server ourselves, just now."""
-        self._do(self.protocol.saw(self._loop.clock.now(), fact))
+    def report_observation(self, fact: Fact) -> None:
+        """Report an observation that this member has just made of a call server."""
+        self._apply_outputs(self.protocol.saw(self._loop.clock.now(), fact))
 
-    def found_ways(self, ways: Iterable[Address]) -> None:
-        """Addresses to join by, as a name has them now."""
-        self._do(self.protocol.ways(self._loop.clock.now(), ways))
+    def set_discovered_seeds(self, addresses: Iterable[Address]) -> None:
+        """Set the seed addresses found by name lookups."""
+        self._apply_outputs(self.protocol.ways(self._loop.clock.now(), addresses))
 
     def leave(self) -> None:
-        """Say that we go; what comes after it is not answered."""
+        """Announce that this member leaves; later datagrams are not answered."""
         if not self.protocol.left:
-            self._do(self.protocol.leave(self._loop.clock.now()))
+            self._apply_outputs(self.protocol.leave(self._loop.clock.now()))
 
     def close(self) -> None:
-        """Be gone, as a process that dies."""
+        """Close the socket without announcing a leave, as a process that dies."""
         self._closed = True
-        self._held.clear()
+        self._received.clear()
         if self._timer is not None:
             self._timer.cancel()
         self._loop.unwatch(self._sock.fileno())
         self._sock.close()
 
     def view(self, query: dict[str, str]) -> dict[str, object]:
-        """A page of the table, for the door, by name; ``after`` asks for what comes after a name."""
+        """A page of the member table for the admin server, sorted by name; ``after``: the last name seen."""
         table, after = self.protocol.view, query.get("after", "")
         names = sorted(record.name for record in table if record.name > after)
-        page = [record for name in names[:PAGE] if (record := table.get(name)) is not None]
+        page = [record for name in names[:PAGE_SIZE] if (record := table.get(name)) is not None]
         voters = self.protocol.count.current
         return {
             "name": self._settings.name,
@@ -122,62 +122,62 @@
             "roster": {"version": voters.version, "members": len(voters.names), "majority": voters.majority},
             "view": {"version": table.version, "digest": f"{table.digest:016x}", "members": len(table)},
             "health": self.protocol.health.score,
-            "members": [self._line(record) for record in page],
-            "more": page[-1].name if len(names) > PAGE else None,
+            "members": [self._describe(record) for record in page],
+            "more": page[-1].name if len(names) > PAGE_SIZE else None,
         }
 
     # --- the loop ---
 
-    def _ready(self, _: int) -> None:
-        """Read what has come, which costs little; it is looked at when there is time between calls."""
-        for _n in range(MAX_TURN):
+    def _on_readable(self, _: int) -> None:
+        """Read the datagrams, which costs little; they are processed when there is time between calls."""
+        for _n in range(MAX_READS_PER_TURN):
             try:
                 data, source = self._sock.recvfrom(MAX_DATAGRAM + 1)
             except BlockingIOError:
                 break
             except OSError:
-                COUNTERS.add("members.socket_errors")  # a port that nobody listens at says so here
+                COUNTERS.add("members.socket_errors")  # e.g. the destination port of a datagram was closed
                 continue
-            if len(self._held) < MAX_HELD:
-                self._held.append((source[:2], data))
+            if len(self._received) < MAX_QUEUED:
+                self._received.append((source[:2], data))
             else:
                 COUNTERS.add("members.dropped.no_room")
-        if self._held and not self._looking:
-            job = self._loop.background.add("members_heard", self._look, Urgency.PROBE, SOON)
-            self._looking = job is not None
+        if self._received and not self._processing:
+            job = self._loop.background.add("members_heard", self._process_received, Urgency.PROBE, MAX_DELAY)
+            self._processing = job is not None
 
-    def _look(self) -> Slices:
+    def _process_received(self) -> Slices:
         try:
-            while self._held:
-                source, data = self._held.popleft()
-                self._do(self.protocol.heard(self._loop.clock.now(), source, data))
+            while self._received:
+                source, data = self._received.popleft()
+                self._apply_outputs(self.protocol.heard(self._loop.clock.now(), source, data))
                 yield
-        finally:  # a fault costs one datagram, not all that come after it
-            self._looking = False
+        finally:  # an exception costs one datagram, not all that follow
+            self._processing = False
 
-    def _wake(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = self._timer_at = None
-        if self._loop.background.add("members_due", self._due, Urgency.PROBE, SOON) is None:
-            self._due()
+        if self._loop.background.add("members_due", self._run_due, Urgency.PROBE, MAX_DELAY) is None:
+            self._run_due()
 
-    def _due(self) -> None:
+    def _run_due(self) -> None:
         if not self._closed:
-            self._do(self.protocol.wake(self._loop.clock.now()))
+            self._apply_outputs(self.protocol.wake(self._loop.clock.now()))
 
-    def _do(self, outputs: list[Output]) -> None:
+    def _apply_outputs(self, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, Send):
                 self._send(output)
             elif isinstance(output, Told):
-                for hear in self._of_servers:
-                    hear(output)
+                for callback in self._report_callbacks:
+                    callback(output)
             else:
-                self._tell(output)
+                self._notify(output)
         due = self.protocol.due_at
         if due is not None and (self._timer_at is None or due < self._timer_at):
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer, self._timer_at = self._loop.call_at(due, self._wake), due
+            self._timer, self._timer_at = self._loop.call_at(due, self._on_timer), due
 
     def _send(self, send: Send) -> None:
         try:
@@ -185,38 +185,38 @@
         except OSError:
             COUNTERS.add("members.not_sent")
 
-    def _tell(self, change: Change | Stood) -> None:
+    def _notify(self, change: Change | Stood) -> None:
         if isinstance(change, Stood):
             log(f"membership: {change.new.value}, was {change.old.value}", "membership")
         elif change.new is not None and (change.old is None or change.old.state is not change.new.state):
             log(f"member {change.name} is {change.new.state.name.lower()}", f"member {change.new.state.name}")
-        for hear in self._told:
-            hear(change)
-        if self._settings.tell is not None:
-            self._report(self._settings.tell, change)
-
-    def _report(self, to: Address, change: Change | Stood) -> None:
-        """One change as JSON: a datagram that may be lost, since nothing here may wait for a reader."""
-        self._number += 1
-        line: dict[str, object] = {
-            "by": self._settings.name, "life": self._boot_id, "n": self._number,
+        for callback in self._change_callbacks:
+            callback(change)
+        if self._settings.event_address is not None:
+            self._send_event(self._settings.event_address, change)
+
+    def _send_event(self, address: Address, change: Change | Stood) -> None:
+        """Send one change as JSON, in a datagram that may be lost: nothing here may wait for a reader."""
+        self._event_number += 1
+        event: dict[str, object] = {
+            "by": self._settings.name, "life": self._boot_id, "n": self._event_number,
             "at_us": micros(self._loop.clock.now()),
             "view": self.protocol.view.version, "digest": f"{self.protocol.view.digest:016x}",
         }  # fmt: skip
         if isinstance(change, Stood):
-            line |= {"event": "standing", "old": change.old.value, "new": change.new.value}
+            event |= {"event": "standing", "old": change.old.value, "new": change.new.value}
         else:
-            line |= {
+            event |= {
                 "event": "member", "about": change.name,
-                "old": None if change.old is None else self._line(change.old),
-                "new": None if change.new is None else self._line(change.new),
+                "old": None if change.old is None else self._describe(change.old),
+                "new": None if change.new is None else self._describe(change.new),
             }  # fmt: skip
         try:
-            self._sock.sendto(json.dumps(line).encode(), to)
+            self._sock.sendto(json.dumps(event).encode(), address)
         except OSError:
             COUNTERS.add("members.not_told")
 
-    def _line(self, record: Record) -> dict[str, object]:
+    def _describe(self, record: Record) -> dict[str, object]:
         return {
             "name": record.name, "state": record.state.name.lower(), "incarnation": record.incarnation,
             "life": record.boot_id, "address": format_address(record.address), "zone": record.zone,
--- a/reedmount/peers/platform.py
+++ b/reedmount/peers/platform.py
@@ -1,4 +1,4 @@
-"""Members on the platform: the peers of ``GW_CONFIG``. Off unless ``run`` says ``--members``."""
+"""Membership on the platform, from the peers in ``GW_CONFIG``. Off unless ``run`` is given ``--members``."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from reedmount.members.record import MAX_ZONE
 from reedmount.members.settings import Timing
 from reedmount.net.connection import Address
-from reedmount.peers.settings import MAX_VOTERS, MAX_WAYS, MembershipSettings
+from reedmount.peers.settings import MAX_SEED_ADDRESSES, MAX_VOTERS, MembershipSettings
 
-# Datagrams are priced there by their length: half as many probes, and news at a third of the pace.
+# The platform charges for datagrams by length: half the default probe rate, a third of the gossip rate.
 TIMING = Timing(
     interval=timedelta(seconds=1), timeout=timedelta(milliseconds=200), gossip=timedelta(milliseconds=300)
 )
 
 
 def read_peers(env: Mapping[str, str]) -> MembershipSettings | None:
-    """Who our peers are; None where the settings do not allow talk between instances, or name nobody.
+    """Reads the peers; None if the settings name none or do not allow traffic between instances.
 
-    The file has been read and checked as a whole before (config.py). Raises ConfigError naming the key.
+    The file as a whole has been read and checked before (config.py). Raises ConfigError naming the key.
     """
     config = json.loads(Path(env["GW_CONFIG"]).read_text(encoding="utf-8"))
     settings, peers, listen = config["settings"], config.get("peers"), config.get("peer_listen")
@@ -32,28 +32,33 @@
     if not peers or not listen or allowed is not True:
         return None
     zone = str(settings.get("zone", "")).encode()[:MAX_ZONE].decode("ascii", "replace")
-    return settings_of(peers, address(listen, "peer_listen"), settings.get("self_index"), zone)
+    return membership_settings(peers, address(listen, "peer_listen"), settings.get("self_index"), zone)
 
 
-def settings_of(peers: Any, listen: Address, own: Any, zone: str = "") -> MembershipSettings:
-    """A member for each peer, named by its number: the list is ordered by the numbers in the settings.
+def membership_settings(peers: Any, listen: Address, self_index: Any, zone: str = "") -> MembershipSettings:
+    """One member per peer, named by its index: the order of the list is that of the indices in the settings.
 
-    We are heard from our address in that list, which is not the one that we listen at.
+    Others see datagrams from this instance's address in the list, which differs from the listening address.
     """
     if not isinstance(peers, list) or not 1 <= len(peers) <= MAX_VOTERS:
         raise ConfigError(f"peers: not a list of 1 to {MAX_VOTERS} addresses")
     addresses = [address(peer, "peers") for peer in peers]
     if len(set(addresses)) < len(addresses):
         raise ConfigError("peers: an address stands twice")
-    if not isinstance(own, int) or isinstance(own, bool) or not 0 <= own < len(addresses):
-        raise ConfigError(f"settings.self_index: not a place in peers: {own!r}")
-    after = addresses[own + 1 :] + addresses[:own]  # so that not all ask the same few who is there
+    if (
+        not isinstance(self_index, int)
+        or isinstance(self_index, bool)
+        or not 0 <= self_index < len(addresses)
+    ):
+        raise ConfigError(f"settings.self_index: not a place in peers: {self_index!r}")
+    # Rotated, so that not all instances join by the same few.
+    candidates = addresses[self_index + 1 :] + addresses[:self_index]
     return MembershipSettings(
-        name=f"p{own}",
+        name=f"p{self_index}",
         group="platform",
         listen=listen,
-        advertise=addresses[own],
-        seed_addresses=tuple(after[:MAX_WAYS]),
+        advertise=addresses[self_index],
+        seed_addresses=tuple(candidates[:MAX_SEED_ADDRESSES]),
         voter_sets=(VoterSet(0, frozenset(f"p{number}" for number in range(len(addresses)))),),
         zone=zone,
         nonvoters=False,
--- a/reedmount/peers/reader.py
+++ b/reedmount/peers/reader.py
@@ -1,4 +1,4 @@
-"""The table ``[members]`` of an operator's file."""
+"""The ``[members]`` table of an operator's configuration file."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 from reedmount.config import ConfigError
 from reedmount.members.quorum import VoterSet
 from reedmount.members.settings import Timing
-from reedmount.peers.settings import MAX_VOTERS, MAX_WAYS, MembershipSettings, identity
+from reedmount.peers.settings import MAX_SEED_ADDRESSES, MAX_VOTERS, MembershipSettings, fingerprint
 from reedmount.sources.srv_reader import read_srv
 from reedmount.tables import Table, numeric
 
 
 def read_members(table: Table) -> MembershipSettings:
-    """Read and check it. Raises ConfigError naming the key."""
+    """Reads and checks the table. Raises ConfigError naming the key."""
     name = table.get("name", str)
     listen = numeric(table.get("listen", str), f"{table.path}.listen")
     advertise = listen
     if table.has("advertise"):
         advertise = numeric(table.get("advertise", str), f"{table.path}.advertise")
     seed_addresses = table.texts("ways_in", [])
-    if len(seed_addresses) > MAX_WAYS:
-        raise ConfigError(f"{table.path}.ways_in: {len(seed_addresses)} addresses, {MAX_WAYS} at most")
+    if len(seed_addresses) > MAX_SEED_ADDRESSES:
+        raise ConfigError(
+            f"{table.path}.ways_in: {len(seed_addresses)} addresses, {MAX_SEED_ADDRESSES} at most"
+        )
     voter_sets = [_voters(table, "roster", "roster_version")]
     if table.has("previous_roster"):
         voter_sets.append(_voters(table, "previous_roster", "previous_version"))
@@ -30,12 +32,12 @@
     if table.has("srv"):
         names = read_srv(srv, None if ":" in listen[0] else f"{table.path}.listen to be one")
     srv.done()
-    guest = table.get("guest", bool, False)
-    if name not in voter_sets[0].names and not guest:
+    is_nonvoter = table.get("guest", bool, False)
+    if name not in voter_sets[0].names and not is_nonvoter:
         raise ConfigError(f"{table.path}.roster: {name!r} is not in it, and guest is not true")
-    plain = Timing()
+    defaults = Timing()
     try:
-        made = MembershipSettings(
+        settings = MembershipSettings(
             name=name,
             group=table.get("group", str),
             listen=listen,
@@ -46,28 +48,30 @@
             voter_sets=tuple(voter_sets),
             zone=table.get("zone", str, ""),
             nonvoters=table.get("guests", bool, True),
-            tell=numeric(table.get("tell", str), f"{table.path}.tell") if table.has("tell") else None,
+            event_address=numeric(table.get("tell", str), f"{table.path}.tell")
+            if table.has("tell")
+            else None,
             srv=names,
             max_report_hold=table.seconds("hearsay_s", 8.0, 0.0, 60.0),
-            build=identity(f"{__version__}{table.get('build', str, '')}"),
+            build=fingerprint(f"{__version__}{table.get('build', str, '')}"),
             timing=Timing(
                 interval=table.span("interval_ms", 500, 20, 60_000),
                 timeout=table.span("timeout_ms", 150, 5, 30_000),
-                relays=table.amount("relays", int, plain.relays, 0, 8),
-                alpha=table.amount("alpha", float, plain.alpha, 1.0, 100.0),
-                beta=table.amount("beta", float, plain.beta, 1.0, 100.0),
-                times=table.amount("times", int, plain.times, 1, 32),
-                fanout=table.amount("fanout", int, plain.fanout, 1, 8),
+                relays=table.amount("relays", int, defaults.relays, 0, 8),
+                alpha=table.amount("alpha", float, defaults.alpha, 1.0, 100.0),
+                beta=table.amount("beta", float, defaults.beta, 1.0, 100.0),
+                times=table.amount("times", int, defaults.times, 1, 32),
+                fanout=table.amount("fanout", int, defaults.fanout, 1, 8),
                 gossip=table.span("gossip_ms", 100, 5, 60_000),
                 forget=table.seconds("forget_s", 600.0, 60.0, 86_400.0),
-                dead_every=table.amount("dead_every", int, plain.dead_every, 1, 100),
-                asked_at_last=table.amount("asked_at_last", int, plain.asked_at_last, 0, 16),
+                dead_every=table.amount("dead_every", int, defaults.dead_every, 1, 100),
+                asked_at_last=table.amount("asked_at_last", int, defaults.asked_at_last, 0, 16),
             ),
         )
-        made.me(0)
+        settings.own_record(0)
     except ValueError as error:
         raise ConfigError(f"{table.path}: {error}") from None
-    return made
+    return settings
 
 
 def _voters(table: Table, key: str, version: str) -> VoterSet:
--- a/reedmount/peers/seed_discovery.py
+++ b/reedmount/peers/seed_discovery.py
@@ -1,4 +1,4 @@
-"""Ways in among the members from SRV names: each target is an address at which a member may be met."""
+"""Discovers seed addresses by SRV names: each target is an address at which a member may be reached."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class SeedDiscovery:
-    """Asks for the names as long as it lives, and tells the members what they say.
+    """Resolves the names periodically and passes the addresses to the membership protocol.
 
-    A name is a way to be met and nothing else: who is a member, and who counts, the name does not say. One
-    that cannot be learnt changes nothing; what it said last is kept, whatever its lifetime.
+    The names only provide addresses to join by; they decide neither who is a member nor who votes. A failed
+    lookup changes nothing: the last result is kept, whatever its TTL.
     """
 
     def __init__(self, loop: Loop, membership: Membership, settings: SrvSettings, rng: random.Random) -> None:
@@ -29,8 +29,8 @@
 
     @property
     def fallback_description(self) -> str:
-        """What there is, for a line to the staff."""
-        return f"{sum(map(len, self._by_name.values()))} ways in by SRV"
+        """The addresses in use, for a log line."""
+        return f"{sum(map(len, self._by_name.values()))} seed addresses by SRV"
 
     def full_update(
         self,
@@ -40,20 +40,22 @@
         fresh_for: timedelta | None = None,
         keep_for: timedelta | None = None,
     ) -> None:
-        """All that a name says. One that names nobody is passed over: it may be empty while all start."""
+        """The result for a name. An empty one is ignored: the name may be empty while all members start."""
         COUNTERS.add("members.ways.heard")
         if claims:
             self._by_name[part] = tuple(claim.endpoint for claim in claims)
-            self._membership.found_ways(way for ways in self._by_name.values() for way in ways)
+            self._membership.set_discovered_seeds(
+                address for addresses in self._by_name.values() for address in addresses
+            )
 
     def source_failed(self, source: str, why: str, part: str = "") -> None:
-        """A name could not be learnt: we go on with what it said last."""
+        """A lookup failed: its last result stays in use."""
         COUNTERS.add("members.ways.failed")
 
     def drop(self, source: str, part: str = "") -> None:
-        """A name is not asked for any more."""
+        """A name is no longer looked up."""
         self._by_name.pop(part, None)
 
     def close(self) -> None:
-        """Ask nothing more."""
+        """Stop the lookups."""
         self._source.close()
--- a/reedmount/peers/settings.py
+++ b/reedmount/peers/settings.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of the members of a group."""
+"""Membership settings from an operator's configuration file."""
 
 from __future__ import annotations
 
@@ -12,38 +12,36 @@
 from reedmount.members.settings import Timing
 from reedmount.net.connection import Address
 
-if TYPE_CHECKING:  # the platform's members ask no names: they are spared the resolver
+if TYPE_CHECKING:  # members on the platform look up no names: they need not import the resolver
     from reedmount.sources.srv import SrvSettings
 
-MAX_WAYS = 64  # addresses to join by
-MAX_VOTERS = 2048  # members that count
+MAX_SEED_ADDRESSES = 64  # addresses
+MAX_VOTERS = 2048  # voting members
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """The table ``[members]``."""
+    """The ``[members]`` table."""
 
     name: str
     group: str
     listen: Address
-    advertise: Address  # where others send to; another one than ``listen`` behind a translation of addresses
+    advertise: Address  # where others send to; differs from ``listen`` behind address translation
     seed_addresses: tuple[Address, ...]
-    voter_sets: tuple[VoterSet, ...]  # ours, then the one before it
+    voter_sets: tuple[VoterSet, ...]  # the current one, then the previous one
     zone: str = ""
     nonvoters: bool = True
-    tell: Address | None = None  # where changes are told as JSON, a datagram each
+    event_address: Address | None = None  # where changes are sent as JSON datagrams
     timing: Timing = field(default_factory=Timing)
     build: int = 0
-    srv: SrvSettings | None = None  # names whose targets are ways in as well
-    max_report_hold: timedelta = timedelta(
-        seconds=8
-    )  # how long a call server is held back on others' word; 0: never
+    srv: SrvSettings | None = None  # SRV names whose targets are further seed addresses
+    max_report_hold: timedelta = timedelta(seconds=8)  # a server is held back on reports of others; 0: never
 
-    def me(self, boot_id: int) -> Record:
-        """What a process of this life says of itself. Raises ValueError where a field does not fit."""
+    def own_record(self, boot_id: int) -> Record:
+        """This member's own record for a boot id. Raises ValueError if a field is out of range."""
         return record_of(self.name, self.advertise, boot_id, self.voter_sets[0].id, self.zone, self.build)
 
 
-def identity(text: str) -> int:
-    """32 bits that tell one program or file from another."""
+def fingerprint(text: str) -> int:
+    """A 32-bit fingerprint of a program version or file."""
     return zlib.crc32(text.encode()) & WORD
--- a/reedmount/sources/member_reports.py
+++ b/reedmount/sources/member_reports.py
@@ -71,7 +71,7 @@
         now, cold_ms = self._loop.clock.now(), -1
         if entry.seen is not None and state is ListState.SERVING:
             cold_ms = min(MAX_AGE, max(ZERO, now - entry.seen) // MILLI)
-        self._membership.saw(Fact(entry.server, self._name, 0, state, cold_ms))
+        self._membership.report_observation(Fact(entry.server, self._name, 0, state, cold_ms))
 
     # --- what others see ---
 
--- a/reedmount/store/writer.py
+++ b/reedmount/store/writer.py
@@ -29,7 +29,7 @@
         self._name = ""
         self._file: File | None = None
 
-    def write(self, batch: Batch) -> None:
+    def write_batch(self, batch: Batch) -> None:
         """Write and sync one batch, then remove the files that are no longer needed."""
         if batch.segment:
             if batch.header is not None:
@@ -109,7 +109,7 @@
         while (batch := self._jobs.get()) is not None:
             error = None
             try:
-                self._disk_thread.write(batch)
+                self._disk_thread.write_batch(batch)
             except OSError as raised:
                 error = raised
             self._results.append((batch, error))
--- a/tests/test_member_handover.py
+++ b/tests/test_member_handover.py
@@ -18,7 +18,7 @@
 from reedmount.net.loop import Loop
 from reedmount.peers.member_handover import MemberHandover
 from reedmount.peers.membership import Membership
-from reedmount.peers.platform import settings_of
+from reedmount.peers.platform import membership_settings
 from standins.world import World
 from tests.scenario import HOST
 from tests.test_board import notice
@@ -58,12 +58,14 @@
     """The second process of an upgrade ended at its start: the first one had the address."""
     world = World()
     places = _places(2)
-    old = MemberHandover(world.loop, settings_of(list(map(format_address, places)), places[0], 0))
-    watcher = Membership(world.loop, settings_of(list(map(format_address, places)), places[1], 1))
+    old = MemberHandover(world.loop, membership_settings(list(map(format_address, places)), places[0], 0))
+    watcher = Membership(world.loop, membership_settings(list(map(format_address, places)), places[1], 1))
     seen: list[str] = []
     watcher.on_change(_lives(seen))
     assert world.until(lambda: bool(seen), timedelta(seconds=5))
-    successor = MemberHandover(world.loop, settings_of(list(map(format_address, places)), places[0], 0))
+    successor = MemberHandover(
+        world.loop, membership_settings(list(map(format_address, places)), places[0], 0)
+    )
     world.run(timedelta(seconds=1))
     assert old.membership is not None and successor.membership is None, "the first one has the clients still"
     old.hand_over(True)
@@ -85,7 +87,7 @@
 
 def test_an_address_that_is_none_of_ours_is_said_at_the_start() -> None:
     with pytest.raises(OSError, match="assign"):
-        MemberHandover(World().loop, settings_of(["192.0.2.1:7946"], ("192.0.2.1", 7946), 0))
+        MemberHandover(World().loop, membership_settings(["192.0.2.1:7946"], ("192.0.2.1", 7946), 0))
 
 
 def test_an_upgrade_on_the_platform_is_one_member_with_a_new_life(tmp_path: Path) -> None:
@@ -97,7 +99,7 @@
     platform(tmp_path, known={"rev": 1, "notices": [notice(1, whole=True)]}, settings=settings,
              peers=peers, peer_listen=peers[0])  # fmt: skip
     env = {"GW_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
-    watcher = Membership(loop, settings_of(peers, places[1], 1))
+    watcher = Membership(loop, membership_settings(peers, places[1], 1))
     seen: list[str] = []
     watcher.on_change(_lives(seen))
     with started("--members", **env, GW_LISTEN=f"{HOST}:0") as old:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,8 +15,8 @@
 from reedmount.members.outbox import Output
 from reedmount.members.quorum import Standing
 from reedmount.operator_file import read_operator
-from reedmount.peers.membership import MAX_HELD, Membership
-from reedmount.peers.platform import read_peers, settings_of
+from reedmount.peers.membership import MAX_QUEUED, Membership
+from reedmount.peers.platform import membership_settings, read_peers
 from reedmount.peers.settings import MembershipSettings
 from standins.world import World
 from tests.test_config import ROOT
@@ -102,7 +102,7 @@
     ]  # fmt: skip
     for wrong, own in wrongs:
         with pytest.raises(ConfigError, match="peers|self_index"):
-            settings_of(wrong, ("10.0.0.4", 7946), own)
+            membership_settings(wrong, ("10.0.0.4", 7946), own)
 
 
 def test_members_on_real_sockets_find_each_other_show_it_and_say_when_they_go(tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
     for sock in socks[:3]:
         sock.close()
     plain = members(tmp_path)
-    told = replace(plain, tell=listener, seed_addresses=tuple(places))
+    told = replace(plain, event_address=listener, seed_addresses=tuple(places))
     group = [
         Membership(world.loop, replace(told, name=f"n{number}", listen=place, advertise=place))
         for number, place in enumerate(places, 1)
@@ -130,7 +130,7 @@
     assert line["event"] in ("member", "standing") and line["n"] == 1
 
     before = COUNTERS["members.dropped.no_room"]
-    group[0]._held.extend([(("127.0.0.1", 1), b"x")] * MAX_HELD)
+    group[0]._received.extend([(("127.0.0.1", 1), b"x")] * MAX_QUEUED)
     socks[3].sendto(b"noise", places[0])
     world.run(timedelta(milliseconds=20))
     assert COUNTERS["members.dropped.no_room"] > before
@@ -145,7 +145,7 @@
     with pytest.raises(RuntimeError):  # a debug build stops there
         world.run(timedelta(seconds=2))
     world.run(timedelta(seconds=2))
-    assert not group[1]._looking and COUNTERS["members.heard"] > faults, "a fault made it deaf"
+    assert not group[1]._processing and COUNTERS["members.heard"] > faults, "a fault made it deaf"
 
     group[2].leave()
     assert world.until(lambda: group[0].alive == 2, timedelta(seconds=2))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -129,7 +129,7 @@
         """All that waits; whether the disk took it."""
         while (batch := self.log.next_batch()) is not None:
             try:
-                self._hand.write(batch)
+                self._hand.write_batch(batch)
             except OSError:
                 self.log.failed(batch)
                 return False
