--- a/reedmount/peers/member_handover.py
+++ b/reedmount/peers/member_handover.py
@@ -20,8 +20,8 @@
     If two processes read one address, each would get only some of the responses. So one at a time has it: the
     old one until the new one has taken over the clients, then the new one. The two exchange no messages about
     it: the old one closes its socket, the new one retries until it can bind. This also works if either dies
-    at any time. The member name is the same, so no leave is announced; the new process is the same member with a
-    new boot id, which needs no agreement of other members.
+    at any time. The member name is the same, so no leave is announced; the new process is the same member
+    with a new boot id, which needs no agreement of other members.
     """
 
     def __init__(self, loop: Loop, settings: MembershipSettings) -> None:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -18,7 +18,7 @@
 from reedmount.store.log import Log
 from reedmount.store.writer import Writer
 from standins.world import STEP, World
-from tests.test_member_handover import _places
+from tests.test_member_handover import _free_addresses
 from tests.test_peers import members
 
 S = timedelta(seconds=1)
@@ -52,7 +52,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.world, self.folder = World(), folder
-        self.places = dict(zip(("n1", "n2", "n3"), _places(3), strict=True))
+        self.places = dict(zip(("n1", "n2", "n3"), _free_addresses(3), strict=True))
         self.plain = members(folder)
         self.peers: dict[str, Membership] = {}
         self.hosts: dict[str, Replication] = {}
--- a/tests/test_member_handover.py
+++ b/tests/test_member_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of an upgrade and one place among the members."""
+"""Handover of the member address between the two processes of an upgrade."""
 
 from __future__ import annotations
 
@@ -26,52 +26,56 @@
 from tests.test_start import free_port, line, started
 
 
-def _places(count: int) -> list[Address]:
-    """Addresses of which nobody has one now."""
+def _free_addresses(count: int) -> list[Address]:
+    """Addresses whose ports are free."""
     ports: set[int] = set()
     while len(ports) < count:
         ports.add(free_port(HOST))
     return [(HOST, port) for port in ports]
 
 
-def _lives(seen: list[str]) -> Callable[[Change | Stood], None]:
-    """Keep what becomes of the other one, with its life."""
+def _record_states(seen: list[str]) -> Callable[[Change | Stood], None]:
+    """A callback that records each new state and boot id of the other member."""
 
-    def hear(change: Change | Stood) -> None:
+    def callback(change: Change | Stood) -> None:
         if isinstance(change, Change) and change.new is not None:
             text = f"{change.new.state.name.lower()} {change.new.boot_id}"
             if not seen or seen[-1] != text:
                 seen.append(text)
 
-    return hear
+    return callback
 
 
-def _until(loop: Loop, done: Callable[[], bool], longest_s: float = 20) -> bool:
-    """Turn it in real time."""
-    end = time.monotonic() + longest_s
-    while not done() and time.monotonic() < end:
+def _until(loop: Loop, condition: Callable[[], bool], timeout_s: float = 20) -> bool:
+    """Run the loop in real time until the condition holds."""
+    end = time.monotonic() + timeout_s
+    while not condition() and time.monotonic() < end:
         loop.turn(timedelta(milliseconds=50))
-    return done()
+    return condition()
 
 
-def test_two_processes_of_one_member_have_its_address_one_after_the_other() -> None:
-    """The second process of an upgrade ended at its start: the first one had the address."""
+def test_two_processes_of_one_member_use_its_address_in_turn() -> None:
+    """Guards against the second process of an upgrade exiting at its start, as the first has the address."""
     world = World()
-    places = _places(2)
-    old = MemberHandover(world.loop, membership_settings(list(map(format_address, places)), places[0], 0))
-    watcher = Membership(world.loop, membership_settings(list(map(format_address, places)), places[1], 1))
+    addresses = _free_addresses(2)
+    old = MemberHandover(
+        world.loop, membership_settings(list(map(format_address, addresses)), addresses[0], 0)
+    )
+    watcher = Membership(
+        world.loop, membership_settings(list(map(format_address, addresses)), addresses[1], 1)
+    )
     seen: list[str] = []
-    watcher.on_change(_lives(seen))
+    watcher.on_change(_record_states(seen))
     assert world.until(lambda: bool(seen), timedelta(seconds=5))
     successor = MemberHandover(
-        world.loop, membership_settings(list(map(format_address, places)), places[0], 0)
+        world.loop, membership_settings(list(map(format_address, addresses)), addresses[0], 0)
     )
     world.run(timedelta(seconds=1))
-    assert old.membership is not None and successor.membership is None, "the first one has the clients still"
+    assert old.membership is not None and successor.membership is None, "the first one still has the clients"
     old.hand_over(True)
     assert old.membership is None
-    assert world.until(lambda: len(seen) == 2, timedelta(seconds=3)), "a new life of the same member"
-    world.run(timedelta(seconds=1))  # it has heard the others as well
+    assert world.until(lambda: len(seen) == 2, timedelta(seconds=3)), "the same member with a new boot id"
+    world.run(timedelta(seconds=1))  # it has received the others' datagrams as well
     successor.leave()
     world.settle()
     old.hand_over(False)
@@ -79,43 +83,43 @@
     assert world.until(lambda: len(seen) == 4, timedelta(seconds=3)), seen
     kinds = [text.partition(" ")[0] for text in seen]
     assert kinds == ["alive", "alive", "left", "alive"], seen
-    assert len({text.partition(" ")[2] for text in seen}) == 3, "a life each"
+    assert len({text.partition(" ")[2] for text in seen}) == 3, "a boot id each"
     assert watcher.alive == 2 and watcher.standing is Standing.MAJORITY
     old.leave()
     watcher.close()
 
 
-def test_an_address_that_is_none_of_ours_is_said_at_the_start() -> None:
+def test_address_of_another_host_raises_at_the_start() -> None:
     with pytest.raises(OSError, match="assign"):
         MemberHandover(World().loop, membership_settings(["192.0.2.1:7946"], ("192.0.2.1", 7946), 0))
 
 
-def test_an_upgrade_on_the_platform_is_one_member_with_a_new_life(tmp_path: Path) -> None:
-    """With real processes: the second one has the address when it has the clients, not before."""
+def test_platform_upgrade_is_the_same_member_with_a_new_boot_id(tmp_path: Path) -> None:
+    """With real processes: the second one gets the address when it has the clients, not before."""
     loop = Loop(Clock())
-    places = _places(2)
-    peers = list(map(format_address, places))
+    addresses = _free_addresses(2)
+    peers = list(map(format_address, addresses))
     settings = {**SETTINGS, "self_index": 0, "allowed": {"max_attempts": 4, "cancel": True, "peers": True}}
     platform(tmp_path, known={"rev": 1, "notices": [notice(1, whole=True)]}, settings=settings,
              peers=peers, peer_listen=peers[0])  # fmt: skip
     env = {"GW_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
-    watcher = Membership(loop, membership_settings(peers, places[1], 1))
+    watcher = Membership(loop, membership_settings(peers, addresses[1], 1))
     seen: list[str] = []
-    watcher.on_change(_lives(seen))
+    watcher.on_change(_record_states(seen))
     with started("--members", **env, GW_LISTEN=f"{HOST}:0") as old:
-        while "serves at" not in (said := line(old)):
+        while "serves at" not in (output := line(old)):
             pass
-        port = said.rpartition(":")[2].strip()
+        port = output.rpartition(":")[2].strip()
         assert _until(loop, lambda: len(seen) == 1)
         with started("--members", **env, GW_LISTEN=f"{HOST}:{port}") as new:
-            # It has the clients 2 s after its start: there is no board to be read before that.
+            # It has the clients 2 s after its start: no notice board can be read before that.
             assert _until(loop, lambda: len(seen) == 2), seen
             old.send_signal(signal.SIGTERM)
             assert old.wait(20) == 0
             assert not _until(loop, lambda: len(seen) > 2, 4), seen
             assert new.poll() is None
-            lives = [text.split() for text in seen]
-            assert [state for state, _ in lives] == ["alive", "alive"] and lives[0][1] != lives[1][1]
+            states = [text.split() for text in seen]
+            assert [state for state, _ in states] == ["alive", "alive"] and states[0][1] != states[1][1]
             new.send_signal(signal.SIGTERM)
             assert _until(loop, lambda: seen[-1].startswith("left")), seen
             assert new.wait(20) == 0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Members on the loop: the operator's table, the platform's peers, datagrams on real sockets."""
+"""Membership: the ``[members]`` table, the platform's peers, datagrams on real sockets."""
 
 from __future__ import annotations
 
@@ -34,20 +34,20 @@
     return found
 
 
-def test_the_shipped_file_says_the_defaults(tmp_path: Path) -> None:
-    kept = members(tmp_path)
+def test_shipped_file_has_the_default_settings(tmp_path: Path) -> None:
+    shipped = members(tmp_path)
     needed = ("name = ", "group = ", "listen = ", "ways_in = ", "roster = ", "roster_version = ")
     head, _, rest = FILE.partition("\n[members]\n")
     table, _, classes = rest.partition("[[class]]")
-    bare = [line for line in table.splitlines() if line.startswith(needed)]
-    text = "\n".join([head, "[members]", *bare, "[[class]]" + classes])
+    required = [line for line in table.splitlines() if line.startswith(needed)]
+    text = "\n".join([head, "[members]", *required, "[[class]]" + classes])
     (tmp_path / "bare.toml").write_text(text)
-    assert read_operator(tmp_path / "bare.toml").members == kept
-    assert kept.voter_sets[0].majority == 2 and kept.advertise == kept.listen
+    assert read_operator(tmp_path / "bare.toml").members == shipped
+    assert shipped.voter_sets[0].majority == 2 and shipped.advertise == shipped.listen
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ('name = "n1"', 'name = "a name of more than 24 bytes"', "members"),
         ('name = "n1"', 'name = "n9"', "members.roster: 'n9' is not in it"),
@@ -66,22 +66,24 @@
         ("# previous_roster", 'previous_version = 2\nprevious_roster = ["n1"] #', "members.previous_version"),
     ],
 )
-def test_each_fault_of_the_table_is_refused_by_its_key(tmp_path: Path, old: str, new: str, says: str) -> None:
-    with pytest.raises(ConfigError, match=says.replace("[", r"\[")):
+def test_invalid_settings_are_refused_naming_the_key(
+    tmp_path: Path, old: str, new: str, message: str
+) -> None:
+    with pytest.raises(ConfigError, match=message.replace("[", r"\[")):
         members(tmp_path, old, new)
 
 
-def test_ways_in_may_come_from_names(tmp_path: Path) -> None:
+def test_seed_addresses_may_come_from_srv_names(tmp_path: Path) -> None:
     table = '[members.srv]\nnames = ["_members._udp.Calls.example"]\nname_servers = ["127.0.0.1:53"]\n'
     found = members(tmp_path, "[[class]]", f"{table}[[class]]").srv
     assert found is not None and found.names == (("_members._udp.calls.example.", "udp"),)
-    wants = table + "ipv6 = true\n[[class]]"
+    ipv6_table = table + "ipv6 = true\n[[class]]"
     with pytest.raises(ConfigError, match="members.srv.ipv6 needs members.listen"):
-        members(tmp_path, "[[class]]", wants)
+        members(tmp_path, "[[class]]", ipv6_table)
 
 
-def test_the_platform_s_peers_are_members_by_their_numbers(tmp_path: Path) -> None:
-    """Where the settings allow talk; heard from an address in ``peers``, not from ``peer_listen``."""
+def test_platform_peers_are_members_named_by_index(tmp_path: Path) -> None:
+    """Only if the settings allow it; the advertised address is the one in ``peers``, not ``peer_listen``."""
     peers = [f"10.3.0.{number}:7946" for number in range(1, 200)]
     path = tmp_path / "config.json"
 
@@ -97,27 +99,27 @@
     assert (found.listen, found.advertise) == (("10.0.0.4", 7946), ("10.3.0.4", 7946))
     assert found.voter_sets[0].majority == 100
     assert found.seed_addresses[0] == ("10.3.0.5", 7946) and len(found.seed_addresses) == 64
-    wrongs: list[tuple[object, object]] = [
+    invalid_peers: list[tuple[object, object]] = [
         ([], 0), ("all", 0), (peers[:3], 3), ([*peers, peers[0]], 0), (peers, True), (peers, None)
     ]  # fmt: skip
-    for wrong, own in wrongs:
+    for invalid, index in invalid_peers:
         with pytest.raises(ConfigError, match="peers|self_index"):
-            membership_settings(wrong, ("10.0.0.4", 7946), own)
+            membership_settings(invalid, ("10.0.0.4", 7946), index)
 
 
-def test_members_on_real_sockets_find_each_other_show_it_and_say_when_they_go(tmp_path: Path) -> None:
+def test_members_on_real_sockets_join_report_and_leave(tmp_path: Path) -> None:
     world = World()
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(4)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
-    *places, listener = [sock.getsockname() for sock in socks]
+    *addresses, listener = [sock.getsockname() for sock in socks]
     for sock in socks[:3]:
         sock.close()
-    plain = members(tmp_path)
-    told = replace(plain, event_address=listener, seed_addresses=tuple(places))
+    defaults = members(tmp_path)
+    configured = replace(defaults, event_address=listener, seed_addresses=tuple(addresses))
     group = [
-        Membership(world.loop, replace(told, name=f"n{number}", listen=place, advertise=place))
-        for number, place in enumerate(places, 1)
+        Membership(world.loop, replace(configured, name=f"n{number}", listen=address, advertise=address))
+        for number, address in enumerate(addresses, 1)
     ]
     assert world.until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
     assert {peer.standing for peer in group} == {Standing.MAJORITY}
@@ -131,21 +133,23 @@
 
     before = COUNTERS["members.dropped.no_room"]
     group[0]._received.extend([(("127.0.0.1", 1), b"x")] * MAX_QUEUED)
-    socks[3].sendto(b"noise", places[0])
+    socks[3].sendto(b"noise", addresses[0])
     world.run(timedelta(milliseconds=20))
     assert COUNTERS["members.dropped.no_room"] > before
 
-    plain_heard, faults = group[1].protocol.heard, COUNTERS["members.heard"]
+    original_heard, received_before = group[1].protocol.heard, COUNTERS["members.heard"]
 
-    def bad(*_: object) -> list[Output]:
-        group[1].protocol.heard = plain_heard  # type: ignore[method-assign]
+    def failing(*_: object) -> list[Output]:
+        group[1].protocol.heard = original_heard  # type: ignore[method-assign]
         raise RuntimeError("bad")
 
-    group[1].protocol.heard = bad  # type: ignore[method-assign,assignment]
-    with pytest.raises(RuntimeError):  # a debug build stops there
+    group[1].protocol.heard = failing  # type: ignore[method-assign,assignment]
+    with pytest.raises(RuntimeError):  # a debug build raises it
         world.run(timedelta(seconds=2))
     world.run(timedelta(seconds=2))
-    assert not group[1]._processing and COUNTERS["members.heard"] > faults, "a fault made it deaf"
+    assert not group[1]._processing and COUNTERS["members.heard"] > received_before, (
+        "an exception stopped the processing of datagrams"
+    )
 
     group[2].leave()
     assert world.until(lambda: group[0].alive == 2, timedelta(seconds=2))
