--- a/reedmount/peers/membership.py
+++ b/reedmount/peers/membership.py
@@ -72,7 +72,7 @@
 
     @property
     def standing(self) -> Standing:
-        """Whether this member sees a quorum of the voters."""
+        """This member's quorum state."""
         return self.protocol.standing
 
     @property
--- a/reedmount/records/call_records.py
+++ b/reedmount/records/call_records.py
@@ -22,7 +22,7 @@
 from reedmount.sip.dialog import DialogState
 
 SWEEP_INTERVAL = timedelta(seconds=1)
-MAX_SWEPT = 1000
+MAX_SWEPT = 1000  # records dropped per sweep
 MAX_REFERENCE_LENGTH = 256  # characters of a Call-ID that are stored
 PAGE_SIZE = 256  # records in one response of the admin server
 Callback = Callable[[], None]
--- a/reedmount/store/writer.py
+++ b/reedmount/store/writer.py
@@ -54,8 +54,8 @@
 class Writer:
     """Drives a log while the program runs; call ``kick`` after adding records to it.
 
-    ``on_durable`` is called with each new value of ``log.durable``; ``on_trouble`` with True when the disk
-    starts to fail and with False when it works again.
+    ``on_durable`` is called with each new value of ``log.durable``; ``on_failing_changed`` with True when the
+    disk starts to fail and with False when it works again.
     """
 
     def __init__(
@@ -65,11 +65,11 @@
         disk: Disk,
         sync: bool = True,
         on_durable: Callable[[int], None] = lambda _: None,
-        on_trouble: Callable[[bool], None] = lambda _: None,
+        on_failing_changed: Callable[[bool], None] = lambda _: None,
     ) -> None:
         """``sync``: whether a record counts as durable after fsync, or already after write."""
         self._loop, self._log = loop, log
-        self._on_durable, self._on_trouble = on_durable, on_trouble
+        self._on_durable, self._on_failing_changed = on_durable, on_failing_changed
         self._disk_thread = _DiskThread(disk, sync)
         self._jobs: queue.SimpleQueue[Batch | None] = queue.SimpleQueue()
         self._results: deque[tuple[Batch, OSError | None]] = deque()
@@ -134,7 +134,7 @@
         COUNTERS.add("store.bytes", len(batch.data))
         if self.failing:
             self.failing = False
-            self._on_trouble(False)
+            self._on_failing_changed(False)
         self._log.done(batch)
         self._on_durable(self._log.durable)
 
@@ -144,7 +144,7 @@
         self._log.failed(batch)
         if not self.failing:
             self.failing = True
-            self._on_trouble(True)
+            self._on_failing_changed(True)
         self._timer = self._loop.call_later(RETRY_INTERVAL, self._retry)
 
     def _retry(self) -> None:
@@ -154,7 +154,7 @@
             self._jobs.put(batch)
         else:  # only the removal of a file had failed
             self.failing = False
-            self._on_trouble(False)
+            self._on_failing_changed(False)
 
     def _compact_if_needed(self) -> Slices:
         if self._compacting or self.failing or not self._log.needs_compaction:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -112,15 +112,15 @@
     """The ACK to the server and the 200 to the caller are sent together; a repeated 200 changes nothing."""
     site = Site(tmp_path, servers=1)
     site.run(S)
-    recorder = BlockingRecorder()
-    site.node.switch.recorder = site.front.recorder = recorder
+    blocking = BlockingRecorder()
+    site.node.switch.recorder = site.front.recorder = blocking
     callers = site.callers(10.0)
     callers.start(site.now, S / 5)
     site.run(S)
     calls = list(callers.calls.values())
-    assert calls and all(not call.finals for call in calls), recorder.events
-    assert len(recorder.waiting) == len(calls) and not site.servers[0].confirmed
-    for answer in recorder.waiting:
+    assert calls and all(not call.finals for call in calls), blocking.events
+    assert len(blocking.waiting) == len(calls) and not site.servers[0].confirmed
+    for answer in blocking.waiting:
         answer()
     site.run(S / 2)
     assert all(call.finals == [200] for call in calls)
@@ -131,16 +131,16 @@
     site = Site(tmp_path, servers=1)
     site.run(S)
     site.servers[0].state = "busy"
-    recorder = BlockingRecorder()
-    site.node.switch.recorder = site.front.recorder = recorder
+    blocking = BlockingRecorder()
+    site.node.switch.recorder = site.front.recorder = blocking
     callers = site.callers(10.0)
     callers.start(site.now, S / 5)
     site.run(15 * S)
     calls = list(callers.calls.values())
-    assert calls and recorder.waiting and all(not call.finals for call in calls)
+    assert calls and blocking.waiting and all(not call.finals for call in calls)
     for leg in list(site.front.legs_by_name.values()):
         leg._send_final(487, [])
-    for answer in recorder.waiting:
+    for answer in blocking.waiting:
         answer()
     site.run(S)
     assert callers.faults() == [] and {call.final for call in calls} == {487}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -239,7 +239,7 @@
     disk = FaultyDisk(RealDisk(folder), folder, faults)
     log = Log(disk)
     log.open()
-    writer = Writer(loop, log, disk, on_durable=durable.append, on_trouble=trouble.append)
+    writer = Writer(loop, log, disk, on_durable=durable.append, on_failing_changed=trouble.append)
     before = COUNTERS[f"store.failed.{error}"]
     log.put(b"a", b"1")
     writer.kick()
