--- a/reedmount/peers/replication.py
+++ b/reedmount/peers/replication.py
@@ -30,7 +30,7 @@
 from reedmount.replicas.messages import Entry, Hello, Message, Phase, ShardId
 from reedmount.replicas.owner import Durable, Send
 from reedmount.replicas.replicas import Fenced, Forget, Pruned, Replicas, TakenOver
-from reedmount.store.log import Log, Unsound
+from reedmount.store.log import CorruptRecord, Log
 from reedmount.store.writer import Writer
 
 TICK = timedelta(milliseconds=100)
@@ -332,7 +332,7 @@
                 value = store.get(key)
                 entry = msgspec.msgpack.decode(value or b"", type=Entry)
                 shard = _parse_shard(key)
-            except (Unsound, msgspec.DecodeError, ValueError):
+            except (CorruptRecord, msgspec.DecodeError, ValueError):
                 COUNTERS.add("replicas.unsound")  # the other replicas have it
                 continue
             found.setdefault(shard, []).append(entry)
