--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A soak of the platform's front: real border controllers between our own clients, call servers and board.
+"""Soak test of the platform front end: real border controllers, simulated clients, call servers and board.
 
-Faults are drawn from a seed; the rules of the protocol page are checked from outside, on one clock.
+Faults are drawn from a seed; the rules of the protocol page are checked from outside, against one clock.
 """
--- a/standins/soak/cases.py
+++ b/standins/soak/cases.py
@@ -1,53 +1,53 @@
-"""Runs that are written out, not drawn: a fault that was met, with what stood round it."""
+"""Fixed runs that reproduce a fault that has occurred, with its circumstances."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
 
-from standins.soak.board import Mood
+from standins.soak.board import BoardMode
 from standins.soak.plan import Plan, Step
 from standins.soak.run import Run
 
 CASES: dict[str, Callable[[], Plan]] = {}
-DISCOVERY_DOWN_S = 9.5  # longer than callers may be left untold
+DISCOVERY_DOWN_S = 9.5  # longer than the limit for notifying callers
 
 
 def case(build: Callable[[], Plan]) -> Callable[[], Plan]:
-    """Know it by its name."""
+    """Register a case under its function's name, with hyphens."""
     CASES[build.__name__.replace("_", "-")] = build
     return build
 
 
 @case
 def vanished_unheard() -> Plan:
-    """Three of four call servers vanish with their calls while discovery is silent (incident 45492b)."""
+    """Three of four call servers are lost with their calls while discovery is silent (incident 45492b)."""
 
     async def discovery(run: Run, _: random.Random) -> None:
-        run.board.feel(Mood.SILENT)
+        run.board.set_mode(BoardMode.SILENT)
         await run.sleep(DISCOVERY_DOWN_S)
-        run.board.feel(Mood.WELL)
+        run.board.set_mode(BoardMode.HEALTHY)
 
     async def vanish(run: Run, _: random.Random) -> None:
-        gone = run.servers[:3]
-        for server in gone:
+        removed = run.servers[:3]
+        for server in removed:
             server.vanish()
         await run.sleep(DISCOVERY_DOWN_S)
-        run.say_state(gone, "DELETED")
+        run.publish_state(removed, "DELETED")
 
     return Plan([Step(2.5, "discovery is down", discovery), Step(3.0, "three servers vanish", vanish)])
 
 
 @case
 def restarts_while_servers_hang() -> Plan:
-    """All border controllers are restarted one after another; two of four call servers hang throughout."""
+    """All border controllers are restarted in turn while two of four call servers are suspended."""
 
     async def hang(run: Run, _: random.Random) -> None:
         for server in run.servers[:2]:
             server.hang()
         await run.sleep(9.0)
         for server in run.servers[:2]:
-            server.heal()
+            server.recover()
 
     async def restart(run: Run, _: random.Random) -> None:
         for node in run.nodes.values():
--- a/standins/soak/history.py
+++ b/standins/soak/history.py
@@ -1,4 +1,4 @@
-"""What clients, call servers and the notice board saw, on the one clock of the soak."""
+"""What clients, call servers and the notice board observed, on the one clock of the soak test."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer as its client heard it."""
+    """A final answer as the client received it."""
 
     at: float
     status: int
@@ -20,86 +20,88 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A set-up that reached a call server whole."""
+    """A set-up that reached a call server completely."""
 
     at: float
     server: str
-    read_late: bool = False  # it had lain at the server for an unknown time
-    body_given: bytes = b""  # of the answer that the server made
-    never_ran: bool = False  # its answer proves that
-    ended_at: float = NEVER  # its end was written, it was cancelled, or its connection ended
-    clean_end: bool = False  # by an answer of its server that left no doubt: no pause is owed
-    answered_whole_at: float = NEVER  # that it stands, in an answer that nothing spoilt
-    over_at: float = NEVER  # its call ended at this server
-    released_by_us: bool = False  # by the border controller
-    disturbed: bool = False  # its server was silent at some time while it was out
+    read_delayed: bool = False  # it may have been queued unread at the server for an unknown time
+    answer_body: bytes = b""  # body of the 200 that the server generated
+    not_executed: bool = False  # the answer proves that the set-up was not executed
+    ended_at: float = NEVER  # final answer written, CANCEL received, or connection closed
+    clean_end: bool = False  # ended by an unambiguous answer: no pause is required before the next attempt
+    answer_completed_at: float = NEVER  # when an intact 200 was written
+    call_ended_at: float = NEVER  # when the call ended at this server
+    released_by_controller: bool = False  # the border controller released the call
+    server_failed: bool = False  # the server was silent at some time while the attempt was pending
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """One set-up of a client and all that came of it."""
+    """One set-up of a client and everything that resulted from it."""
 
     name: str
     node: str
     wait_s: float
-    sent_at: float = NEVER  # its last byte was written to an accepted connection
+    sent_at: float = NEVER  # when the last byte was written to an accepted connection
     repeatable: bool = True
-    gone_at: float = NEVER  # its client closed, or gave it up
-    cancelled: bool = False  # in words, not by a close
+    abandoned_at: float = NEVER  # when the client closed the connection or cancelled
+    cancelled: bool = False  # by a CANCEL, not by closing the connection
     answers: list[Answer] = field(default_factory=list)
-    closed_at: float = NEVER  # its connection was ended by the border controller while it was open
-    again_after: str = ""  # the set-up that crossed a close and that this one repeats
+    closed_at: float = NEVER  # the border controller closed the connection while the set-up was open
+    repeats_call: str = ""  # name of the set-up that crossed a close and is repeated by this one
     repeated_by: str = ""
     attempts: list[Attempt] = field(default_factory=list)
-    over_at: float = NEVER  # at its call server, or by its client
-    release_sent_at: float = NEVER  # the call server wrote its release to a connection that lives
+    call_ended_at: float = NEVER  # at the call server, or by the client
+    release_sent_at: float = NEVER  # the call server wrote its release to a connection of the current process
     client_ended_at: float = NEVER
-    untellable: bool = False  # no client had a connection when its release was sent
-    told_at: float = NEVER  # its client heard the release
-    node_life: int = 0  # which start of its border controller took it
-    trail: list[str] = field(default_factory=list)  # what clients and call servers did with it, for the story
+    no_client_reachable: bool = False  # no client was connected when the release was sent
+    notified_at: float = NEVER  # when the client received the release
+    process_number: int = 0  # which process of the border controller received the set-up
+    trail: list[str] = field(default_factory=list)  # steps of clients and call servers, for the event history
 
     @property
-    def stood(self) -> bool:
-        """Whether its client had the answer that it stands."""
+    def established(self) -> bool:
+        """Whether the client received a 200."""
         return any(answer.status == 200 for answer in self.answers)
 
 
 @dataclass(slots=True)
 class Event:
-    """A line of the story: a fault, a signal, news."""
+    """A line of the event history: a fault, a signal, or a change of state."""
 
     at: float
     text: str
 
 
 class History:
-    """Everything that was seen in one run."""
+    """Everything that was observed in one run."""
 
     def __init__(self) -> None:
-        self._zero = time.monotonic()
+        self._started_at = time.monotonic()
         self.calls: dict[str, CallRecord] = {}
         self.events: list[Event] = []
-        self.left_at: dict[tuple[str, str], float] = {}  # node, server: told that it drains or is gone
-        self.life: dict[str, int] = {}  # which start of each border controller is the present one
-        self.reachable: dict[str, Callable[[], bool]] = {}  # whether its clients have a connection to it
-        self.stray: list[str] = []  # what broke a rule where it happened
+        self.leave_sent_at: dict[
+            tuple[str, str], float
+        ] = {}  # (node, server): when the notice that the server leaves was sent
+        self.process_numbers: dict[str, int] = {}  # number of the current process of each border controller
+        self.reachable: dict[str, Callable[[], bool]] = {}  # by node: whether any client is connected to it
+        self.violations: list[str] = []  # rule violations detected while the run was in progress
 
     @property
     def now(self) -> float:
-        """Seconds since the run began."""
-        return time.monotonic() - self._zero
+        """Seconds since the start of the run."""
+        return time.monotonic() - self._started_at
 
-    def tell(self, text: str) -> None:
-        """Note an event."""
+    def record_event(self, text: str) -> None:
+        """Add an event to the history."""
         self.events.append(Event(self.now, text))
 
-    def follow(self, name: str, text: str) -> None:
-        """Note what was done with a call."""
+    def record_step(self, name: str, text: str) -> None:
+        """Add a step to the trail of a call."""
         call = self.calls.get(name)
         if call is not None:
             call.trail.append(f"{self.now:.3f} {text}")
 
-    def broke(self, text: str) -> None:
-        """Note a broken rule that shows at once."""
-        self.stray.append(f"{self.now:.3f} {text}")
+    def record_violation(self, text: str) -> None:
+        """Record a violation that is detected at once."""
+        self.violations.append(f"{self.now:.3f} {text}")
--- a/standins/soak/nodes.py
+++ b/standins/soak/nodes.py
@@ -1,4 +1,4 @@
-"""A border controller of a soak: the real program as the deploy file starts it, its file and its signals."""
+"""Border controller process of the soak test, started by the deploy file's command; its file and signals."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 SOCKETS = 256
-SLACK_S = 0.7  # SIGKILL comes the longest deadline and this after SIGTERM
-LONGEST_COUNTED_S = 3.0
-FAULTS = ("Traceback", "invariant broken", "faults=", "MemoryError", "Too many open files")
+KILL_SLACK_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this
+MAX_COUNTED_DEADLINE_S = 3.0
+FAULT_MARKERS = ("Traceback", "invariant broken", "faults=", "MemoryError", "Too many open files")
 
 
 class Node:
-    """One border controller with its folder; its log is ``NAME.log`` there."""
+    """One border controller; its log is ``NAME.log`` in the folder of the run."""
 
     def __init__(self, name: str, address: tuple[str, int], folder: Path, config: dict[str, Any]) -> None:
         self.name, self.address, self.config = name, address, config
@@ -35,27 +35,27 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process is there."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def kill_after_s(self) -> float:
-        """When SIGKILL may come at the earliest, after SIGTERM."""
+        """The shortest time from SIGTERM to SIGKILL."""
         longest: float = max(kind["deadline"] for kind in self.config["settings"]["classes"]) / 1e6
-        return min(LONGEST_COUNTED_S, longest) + SLACK_S
+        return min(MAX_COUNTED_DEADLINE_S, longest) + KILL_SLACK_S
 
     def write_config(self) -> None:
-        """Replace the file in one step."""
+        """Replace the configuration file atomically."""
         self.write_text(json.dumps(self.config))
 
     def write_text(self, text: str) -> None:
-        """Replace the file by any text."""
+        """Replace the configuration file by any text, atomically."""
         fresh = self._path.with_suffix(".new")
         fresh.write_text(text, encoding="utf-8")
         fresh.rename(self._path)
 
     def start(self) -> None:
-        """Start it as the platform does."""
+        """Start the process as the platform does."""
         assert not self.running
         self.write_config()
         env = {
@@ -69,12 +69,12 @@
         resource.prlimit(self._process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     async def ended_within(self, seconds: float) -> bool:
-        """Wait for its end, for so long at most."""
+        """Wait for the process to end, at most so long; whether it has."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while self.running and loop.time() < until:
@@ -82,18 +82,18 @@
         return not self.running
 
     def kill(self) -> None:
-        """End it by force."""
+        """End the process by SIGKILL."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
 
     def faults(self) -> list[str]:
-        """What its log says of faults of its own."""
+        """The lines of its log that report internal faults."""
         text = self.log_path.read_text(encoding="utf-8", errors="replace")
-        told = [line for line in text.splitlines() if any(word in line for word in FAULTS)]
-        return [f"{self.name} log: {line}" for line in told]
+        faulty = [line for line in text.splitlines() if any(marker in line for marker in FAULT_MARKERS)]
+        return [f"{self.name} log: {line}" for line in faulty]
 
     def close(self) -> None:
-        """End it and let go of its files."""
+        """End the process and close its log."""
         self.kill()
         self._log.close()
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: border controllers as processes, all that is round them, the faults of a plan, and the verdict."""
+"""One run: border controller processes with their simulated environment, a plan of faults, and the result."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from standins.soak import checks
 from standins.soak.board import Board
 from standins.soak.callserver import CallServer, State
-from standins.soak.checks import Life
-from standins.soak.clients import ClassOfCall, Clients, Habits
+from standins.soak.checks import ProcessRun
+from standins.soak.clients import CallClass, ClientProfile, Clients
 from standins.soak.history import History
 from standins.soak.nodes import SOCKETS, Node
 from standins.soak.plan import TRAFFIC_S, Plan
 
 NODES, SERVERS = 3, 4
 READY_WITHIN_S = 10.0
-TAIL_S = 9.0  # until the last call that no release could be sent for has to be told
-CONNECTIONS_COME_S = (0.2, 0.4)  # after SIGTERM
+TAIL_S = 9.0  # covers the time limit for notifying callers whose release could not be sent
+CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)  # new connections still arrive for so long after SIGTERM
 CALLS_PER_S = (10, 25, 40)
 CONNECTIONS = (1, 3, 8)
 LONGEST_MS = (500, 1200, 2000, 3000)
-PORT = 20000  # below those that outgoing connections get
+PORT = 20000  # below the ephemeral port range
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What came of a run."""
+class RunResult:
+    """Result of a run."""
 
     seed: int
     broken: list[str]
@@ -41,8 +41,8 @@
     story: list[str]
 
 
-def settings_for(classes: list[ClassOfCall], nodes: int) -> dict[str, Any]:
-    """The settings of the platform's file."""
+def settings_for(classes: list[CallClass], nodes: int) -> dict[str, Any]:
+    """The settings object of the platform's configuration file."""
     described = [
         {"name": kind.name, "worth": 1.0, "late_share": 0.25, "target": kind.deadline_ms * 500,
          "deadline": kind.deadline_ms * 1000, "effect": "read_like" if kind.repeatable else "non_idempotent"}
@@ -60,9 +60,11 @@
 
 
 class Run:
-    """All parts of one run."""
+    """Border controllers, clients, call servers and notice board of one run."""
 
-    def __init__(self, seed: int, folder: Path, plan: Plan, nodes: int = NODES, crowd: bool = False) -> None:
+    def __init__(
+        self, seed: int, folder: Path, plan: Plan, nodes: int = NODES, misbehaving: bool = False
+    ) -> None:
         self.seed, self._folder, self._plan = seed, folder, plan
         self._rng = random.Random(f"run {seed}")
         self.history = History()
@@ -70,39 +72,39 @@
         self.servers: list[CallServer] = []
         self.nodes: dict[str, Node] = {}
         self.clients: dict[str, Clients] = {}
-        self.lives: list[Life] = []
-        self._unsaid: list[CallServer] = []  # that discovery has not named
+        self.process_runs: list[ProcessRun] = []
+        self._unpublished: list[CallServer] = []  # servers not yet named by discovery
         self._restarting: set[str] = set()
-        self._crowd = crowd
+        self._misbehaving = misbehaving
         self._names = [f"n{number}" for number in range(1, nodes + 1)]
         longest = plan.longest_ms or self._rng.choice(LONGEST_MS)
-        self.classes = [ClassOfCall("plain", longest, True), ClassOfCall("once", min(longest, 1500), False)]
+        self.classes = [CallClass("plain", longest, True), CallClass("once", min(longest, 1500), False)]
 
     def _fork(self, what: str) -> random.Random:
         return random.Random(f"{what} {self.seed}")
 
     async def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Wait in real time."""
         await asyncio.sleep(seconds)
 
-    async def play(self) -> Verdict:
-        """Start all, let the faults happen, wait for the ends, and judge."""
+    async def play(self) -> RunResult:
+        """Start all parts, inject the faults, wait for the calls to end, and check the rules."""
         try:
             await self._start()
             tasks = [asyncio.create_task(self._step(step)) for step in self._plan.steps]
             await self.sleep(TRAFFIC_S)
             await asyncio.gather(*tasks)
             for clients in self.clients.values():
-                clients.tail = True
+                clients.winding_down = True
             await self.sleep(TAIL_S)
-            return self._judge()
+            return self._evaluate()
         finally:
             self._close()
 
     async def _step(self, step: Any) -> None:
         await self.sleep(step.at)
-        self.history.tell(f"fault: {step.name}")
-        await step.deed(self, self._fork(f"{step.name} {step.at}"))
+        self.history.record_event(f"fault: {step.name}")
+        await step.action(self, self._fork(f"{step.name} {step.at}"))
 
     # --- parts ---
 
@@ -113,44 +115,44 @@
             config = {
                 "name": name, "listen": f"{host}.{number}:{PORT}",
                 "seed": f"{self._rng.getrandbits(32):x}", "limits": {"sockets": SOCKETS},
-                "board": await self.board.open_for(name), "known": self.board.known(name),
+                "board": await self.board.listen_for(name), "known": self.board.initial_list(name),
                 "settings": settings_for(self.classes, len(self._names)),
             }  # fmt: skip
             node = Node(name, (f"{host}.{number}", PORT), self._folder, config)
             rate = self._plan.calls_per_s or self._rng.choice(CALLS_PER_S)
-            habits = Habits(rate, self._rng.choice(CONNECTIONS))
+            profile = ClientProfile(rate, self._rng.choice(CONNECTIONS))
             rng = self._fork(f"clients {name}")
-            clients = Clients(name, node.address, self.classes, habits, self.history, rng)
+            clients = Clients(name, node.address, self.classes, profile, self.history, rng)
             self.nodes[name], self.clients[name] = node, clients
             node.start()
             clients.spawn(clients.run())
         await asyncio.gather(*(self._until_ready(name) for name in self._names))
-        if self._crowd:
+        if self._misbehaving:
             for clients in self.clients.values():
                 clients.spawn(clients.misbehave(TRAFFIC_S))
 
     async def _until_ready(self, name: str) -> None:
         clients, begun = self.clients[name], self.history.now
-        while not await clients.ready():
+        while not await clients.is_ready():
             if self.history.now - begun > READY_WITHIN_S:
-                self.history.broke(f"{name} was not ready {READY_WITHIN_S} s after its start")
+                self.history.record_violation(f"{name} was not ready {READY_WITHIN_S} s after its start")
                 return
             await self.sleep(0.05)
-        self.lives.append(Life(name, clients.life, self.history.now))
-        self.history.tell(f"{name} is ready")
-        clients.taking = clients.calling = True
+        self.process_runs.append(ProcessRun(name, clients.process_number, self.history.now))
+        self.history.record_event(f"{name} is ready")
+        clients.may_connect = clients.may_call = True
 
     def add_servers(self, count: int) -> None:
-        """New call servers, as discovery names them."""
+        """Start new call servers and publish them."""
         for _ in range(count):
             self._new_server({})
-        self.say_new()
+        self.publish_new()
 
-    def take_place_of(self, gone: CallServer) -> None:
-        """A new call server at the addresses of one that has gone; discovery does not know it yet."""
-        gone.leave_addresses()
-        fresh = self._new_server(gone.ports())
-        self.history.tell(f"{fresh.name} has the addresses of {gone.name}")
+    def reuse_addresses_of(self, removed: CallServer) -> None:
+        """Start a call server at the addresses of a removed one, without publishing it."""
+        removed.release_addresses()
+        fresh = self._new_server(removed.ports())
+        self.history.record_event(f"{fresh.name} has the addresses of {removed.name}")
 
     def _new_server(self, ports: dict[str, int]) -> CallServer:
         number = len(self.servers) + 1
@@ -158,85 +160,85 @@
         fresh = CallServer(f"s{number}", number, self._names, self.history, rng, at_ports=ports)
         fresh.busy = True  # until discovery names it
         self.servers.append(fresh)
-        self._unsaid.append(fresh)
+        self._unpublished.append(fresh)
         return fresh
 
-    def say_new(self) -> None:
-        """Discovery names the call servers that it has not named yet."""
-        fresh, self._unsaid = self._unsaid, []
-        born = 0 if len(self.servers) == len(fresh) else int(time.time() * 1000)
+    def publish_new(self) -> None:
+        """Publish the call servers that discovery has not named yet."""
+        fresh, self._unpublished = self._unpublished, []
+        born_ms = 0 if len(self.servers) == len(fresh) else int(time.time() * 1000)
         for server in fresh:
             server.busy = False
         if fresh:
-            self.board.say(*(self._host(server, "SERVING", born) for server in fresh))
+            self.board.publish(*(self._host(server, "SERVING", born_ms) for server in fresh))
 
-    def say_state(self, servers: list[CallServer], state: str) -> None:
-        """Discovery says that servers drain or are gone."""
+    def publish_state(self, servers: list[CallServer], state: str) -> None:
+        """Publish that servers drain or are deleted."""
         if servers:
-            self.board.say(*(self._host(server, state, 0) for server in servers))
+            self.board.publish(*(self._host(server, state, 0) for server in servers))
 
     @staticmethod
     def _host(server: CallServer, state: str, born_ms: int) -> dict[str, Any]:
         return {"host": server.name, "dial": server.addresses, "site": "here", "class": "std",
                 "block": server.number, "health": state, "share": 4, "born_ms": born_ms}  # fmt: skip
 
-    def some_servers(self, rng: random.Random, most: int = 3) -> list[CallServer]:
-        """Some of those that serve and are not about to leave, but not the last one."""
+    def some_servers(self, rng: random.Random, max_count: int = 3) -> list[CallServer]:
+        """Choose serving call servers that are not part of another fault; at least one is left out."""
         able = [server for server in self.servers if server.state is State.SERVING and not server.busy]
-        count = min(rng.randint(1, most), max(0, len(able) - 1))
+        count = min(rng.randint(1, max_count), max(0, len(able) - 1))
         chosen = rng.sample(able, count)
         for server in chosen:
             server.busy = True
         return chosen
 
     def some_nodes(self, rng: random.Random) -> list[Node]:
-        """Some of the border controllers, in any order."""
+        """Choose border controllers, in random order."""
         return rng.sample(list(self.nodes.values()), rng.randint(1, len(self.nodes)))
 
-    # --- what befalls border controllers ---
+    # --- faults and signals of border controllers ---
 
     async def restart(self, node: Node) -> None:
-        """SIGTERM, SIGKILL as soon as it may come, and a new process at once."""
+        """Send SIGTERM, then SIGKILL at the earliest permitted time, and start a new process at once."""
         if node.name in self._restarting or not node.running:
             return
         self._restarting.add(node.name)
         clients = self.clients[node.name]
-        self.history.tell(f"{node.name} gets SIGTERM")
+        self.history.record_event(f"{node.name} gets SIGTERM")
         node.send(signal.SIGTERM)
-        come_for = self._rng.uniform(*CONNECTIONS_COME_S)
-        asyncio.get_running_loop().call_later(come_for, clients.stop_connecting)
+        connect_until_s = self._rng.uniform(*CONNECTIONS_AFTER_TERM_S)
+        asyncio.get_running_loop().call_later(connect_until_s, clients.stop_connecting)
         forced = not await node.ended_within(node.kill_after_s)
-        clients.calling = clients.taking = False
+        clients.may_call = clients.may_connect = False
         clients.killed = forced
         node.kill()
-        self.history.tell(f"{node.name} {'was killed' if forced else 'has ended'}")
-        self._end_life(node.name)
+        self.history.record_event(f"{node.name} {'was killed' if forced else 'has ended'}")
+        self._end_process_run(node.name)
         await self.sleep(0.05)
         clients.killed = False
-        clients.life += 1
-        self.history.life[node.name] = clients.life
-        node.config["known"] = self.board.known(node.name)
+        clients.process_number += 1
+        self.history.process_numbers[node.name] = clients.process_number
+        node.config["known"] = self.board.initial_list(node.name)
         node.start()
         await self._until_ready(node.name)
         self._restarting.discard(node.name)
 
-    def _end_life(self, name: str) -> None:
-        for place, life in enumerate(self.lives):
-            if life.node == name and life.number == self.clients[name].life:
-                self.lives[place] = replace(life, ended_at=self.history.now)
+    def _end_process_run(self, name: str) -> None:
+        for index, process_run in enumerate(self.process_runs):
+            if process_run.node == name and process_run.number == self.clients[name].process_number:
+                self.process_runs[index] = replace(process_run, ended_at=self.history.now)
 
     async def configure(self, node: Node, moves: bool) -> None:
-        """A new configuration, perhaps with another place of discovery, and SIGHUP."""
+        """Write a configuration, optionally with another address of the notice board, and send SIGHUP."""
         if node.name in self._restarting or not node.running:
             return
         if moves:
-            node.config["board"] = await self.board.open_for(node.name)
+            node.config["board"] = await self.board.listen_for(node.name)
         node.write_config()
-        self.history.tell(f"{node.name} gets SIGHUP")
+        self.history.record_event(f"{node.name} gets SIGHUP")
         node.send(signal.SIGHUP)
 
     async def spoil_configuration(self, node: Node, text: str) -> None:
-        """A file that cannot be taken, and SIGHUP; a good one follows without a signal."""
+        """Write an invalid file and send SIGHUP; a valid file follows without a signal."""
         if node.name in self._restarting or not node.running:
             return
         node.write_text(text)
@@ -245,27 +247,27 @@
         node.write_config()
 
     async def change_deadlines(self, node: Node, factor: float) -> None:
-        """Other deadlines, from now on; clients go by them before the border controller hears of them."""
+        """Scale the deadlines; clients use the new ones before the border controller reads them."""
         for kind in node.config["settings"]["classes"]:
             kind["deadline"] = int(kind["deadline"] * factor)
             kind["target"] = kind["deadline"] // 2
-        self.clients[node.name].shorten(factor)
+        self.clients[node.name].shorten_deadlines(factor)
         await self.sleep(1.5)
         await self.configure(node, moves=False)
 
-    # --- the end ---
+    # --- result ---
 
-    def _judge(self) -> Verdict:
-        found = checks.broken(self.history, self.board, self.lives)
+    def _evaluate(self) -> RunResult:
+        found = checks.find_violations(self.history, self.board, self.process_runs)
         for node in self.nodes.values():
             if not node.running:
-                found.append(f"crash: {node.name} is not there any more")
+                found.append(f"crash: {node.name} is not running")
             found += node.faults()
         counts: Counter[str] = Counter()
         for call in self.history.calls.values():
             counts["sent"] += call.sent_at < float("inf")
             counts["attempts"] += len(call.attempts)
-            counts["stood"] += call.stood
+            counts["stood"] += call.established
             counts["refused"] += any(answer.status >= 300 for answer in call.answers)
         story = [f"{event.at:7.3f} {event.text}" for event in self.history.events]
         story += [
@@ -273,7 +275,7 @@
             for name, call in self.history.calls.items()
             if any(name in line for line in found)
         ]
-        return Verdict(self.seed, found, dict(counts), story)
+        return RunResult(self.seed, found, dict(counts), story)
 
     def _close(self) -> None:
         for clients in self.clients.values():
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -1,4 +1,4 @@
-"""Rigs that play with real processes: all runs of one begin at once, each a process of its own."""
+"""Starts the runs of the tests with real processes: all at once, each run in its own process."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from tests.test_config import ROOT
 
-LONGEST_S = 240
+RUN_TIMEOUT_S = 240
 
 
 @contextmanager
-def playing(
-    module: str, names: Iterable[str], folder: Path, *words: str
+def started_runs(
+    module: str, names: Iterable[str], folder: Path, *arguments: str
 ) -> Iterator[dict[str, subprocess.Popen[str]]]:
-    """Runs by name, each with a folder of its own; what is left of them ends with the tests."""
+    """Start runs, each with its own folder, yield them by name, and end the remaining ones on exit."""
     running = {
         name: subprocess.Popen(
-            [sys.executable, "-m", module, name, *words, "--folder", str(folder / name)],
+            [sys.executable, "-m", module, name, *arguments, "--folder", str(folder / name)],
             cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
         )
         for name in names
