--- a/standins/soak/callserver.py
+++ b/standins/soak/callserver.py
@@ -120,9 +120,9 @@
     """The listening socket at which one border controller reaches a call server."""
 
     def __init__(self, port: int = 0) -> None:
-        self.sock = socket.create_server((HOST, port), backlog=BACKLOG)
-        self.sock.setblocking(False)
-        self.address = f"{HOST}:{self.sock.getsockname()[1]}"
+        self.listening_socket = socket.create_server((HOST, port), backlog=BACKLOG)
+        self.listening_socket.setblocking(False)
+        self.address = f"{HOST}:{self.listening_socket.getsockname()[1]}"
         self.task: asyncio.Task[None] | None = None
         self._fillers: list[socket.socket] = []
 
@@ -133,11 +133,11 @@
 
     def block(self) -> None:
         """Fill the backlog so that the kernel completes no further handshake."""
-        self.sock.listen(0)
+        self.listening_socket.listen(0)
         for _ in range(FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
-            filler.connect_ex(self.sock.getsockname())
+            filler.connect_ex(self.listening_socket.getsockname())
             self._fillers.append(filler)
 
     def unblock(self) -> None:
@@ -145,12 +145,12 @@
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
-        self.sock.listen(BACKLOG)
+        self.listening_socket.listen(BACKLOG)
 
     def close(self) -> None:
         """Close the listening socket."""
         self.stop()
-        for sock in [self.sock, *self._fillers]:
+        for sock in [self.listening_socket, *self._fillers]:
             sock.close()
 
 
@@ -295,7 +295,7 @@
 
     async def _accept(self, node: str, listener: ServerListener) -> None:
         while True:
-            sock, _ = await self._loop.sock_accept(listener.sock)
+            sock, _ = await self._loop.sock_accept(listener.listening_socket)
             await self._loop.connect_accepted_socket(lambda: ServerStream(self, node), sock)
 
     def stream_opened(self, stream: ServerStream) -> None:
--- a/standins/soak/checks.py
+++ b/standins/soak/checks.py
@@ -53,7 +53,7 @@
     return next(
         process_run
         for process_run in process_runs
-        if process_run.node == call.node and process_run.number == call.process_number
+        if process_run.node == call.node and process_run.number == call.node_process
     )
 
 
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -240,7 +240,7 @@
 
     def _new_call(self, wait_s: float) -> CallRecord:
         name = self._name()
-        call = CallRecord(name, self.node, wait_s, process_number=self.process_number)
+        call = CallRecord(name, self.node, wait_s, node_process=self.process_number)
         self.history.calls[name] = call
         return call
 
--- a/standins/soak/history.py
+++ b/standins/soak/history.py
@@ -56,7 +56,7 @@
     client_ended_at: float = NEVER
     no_client_reachable: bool = False  # no client was connected when the release was sent
     notified_at: float = NEVER  # when the client received the release
-    process_number: int = 0  # which process of the border controller received the set-up
+    node_process: int = 0  # which process of the border controller received the set-up
     trail: list[str] = field(default_factory=list)  # steps of clients and call servers, for the event history
 
     @property
