--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -44,7 +44,7 @@
         self.cpu += time.process_time() - began
         if self.profile is not None:
             self.profile.disable()
-        for stand in self.stands:
+        for stand in self.stand_ins:
             busy = stand.pump(self.now) or busy
         return busy
 
@@ -55,14 +55,14 @@
         site = Costed(Path(folder), servers=0, board=False, ttl=300, start=False)
         text = site.file.read_text().replace("_sip._udp", f"_sip._{transport}")
         site.file.write_text(text)
-        name: NameServer = site.names[0]
+        name: NameServer = site.dns_servers[0]
         rows = []
         for number in range(3):
             server = CallServer(transport=transport, work=timedelta(milliseconds=5))
             site.servers.append(server)
-            site.stands.append(server)
+            site.stand_ins.append(server)
             rows.append((10, 1, server.address[1], f"c{number}"))
-        for name in site.names:
+        for name in site.dns_servers:
             name.srv(f"_sip._{transport}.calls.example.", *rows, ttl=300)
             for number in range(3):
                 name.host(f"c{number}", "127.0.0.1", ttl=300)
--- a/benchmarks/resolver.py
+++ b/benchmarks/resolver.py
@@ -79,7 +79,7 @@
         well(server, way)
         if way == "udp":
             server.refuse_tcp()
-    world.stands += servers
+    world.stand_ins += servers
     resolver = Resolver(world.loop, ResolverSettings(tuple(s.address for s in servers)), random.Random(seed))
     got: list[tuple[float, Answer | LookupFailed, int]] = []
     out = [False]
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -127,12 +127,12 @@
     site.run(span / 6)
     until = site.now
     site.run(5 * S)
-    asked = sum(len(server.asked) for server in site.names)
+    asked = sum(len(server.asked) for server in site.dns_servers)
     return {
         "calls": callers.counts["calls"],
-        "share": callers.share(begun, until),
+        "share": callers.established_share(begun, until),
         "unanswered": len(callers.faults()),
-        "late": len(site.referee.late(site.servers)),
+        "late": len(site.drain_checker.late_setups(site.servers)),
         "asked": asked,
         "given_up": COUNTERS["dns.given_up"] - before.get("dns.given_up", 0),
     }
@@ -173,11 +173,11 @@
         began = time.monotonic()
         while time.monotonic() - began < span.total_seconds() and not done():
             self.loop.turn(ZERO)
-            for stand in self.stands:
+            for stand in self.stand_ins:
                 stand.pump(self.now)
         return time.monotonic() - began
 
-    def settle(self) -> None:
+    def run_until_idle(self) -> None:
         """Real time needs none."""
 
 
@@ -210,13 +210,13 @@
             site.go(S)
             callers = site.callers(20)
             callers.start(site.now, 4 * S)
-            name = site.names[0]
+            name = site.dns_servers[0]
             rows = [(10, 1, 5000 + n // hosts, f"h{n % hosts}") for n in range(wanted)]
             name.srv(SRV, *rows, ttl=60)
             for number in range(hosts):
                 name.host(f"h{number}", f"127.1.{number // 256}.{number % 256}", ttl=60)
             child = apart(name)
-            site.stands.remove(name)
+            site.stand_ins.remove(name)
             rounds = COUNTERS["srv.rounds"]
             site.go(5 * S, lambda start=rounds: COUNTERS["srv.rounds"] > start)  # type: ignore[misc]
             gc.collect()
@@ -239,7 +239,7 @@
     """CPU of a refresh that brings nothing new, and the memory of a cache that is full."""
     world = World()
     server = NameServer()
-    world.stands.append(server)
+    world.stand_ins.append(server)
     resolver = Resolver(world.loop, ResolverSettings((server.address,)), random.Random(1))
     print("| targets | CPU a refresh, all of it | of that the name server's stand-in |")
     print("| --- | --- | --- |")
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what lives outside: name servers, call servers and callers on loopback. Never imported there.
+"""Test doubles and load generators on loopback: name servers, call servers and callers.
 
-Each has ``pump(now)``: it takes what has come and sends what is due, and never waits. A test turns it in
-virtual time, ``python -m standins`` in real time.
+The program never imports them. Each has ``pump(now)``, which handles what has arrived, sends what is due and
+never blocks. Tests drive it in virtual time, ``python -m standins`` in real time.
 """
--- a/standins/board.py
+++ b/standins/board.py
@@ -1,7 +1,7 @@
-"""A notice board: numbered events of the pool list, told by long polls over HTTP/1.1.
+"""Notice board: serves numbered events of the pool list by long polls over HTTP/1.1.
 
 board = NoticeBoard()
-board.say(("127.0.0.2", 5070), "SERVING")
+board.publish(("127.0.0.2", 5070), "SERVING")
 board.pump(now)
 """
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Poll:
-    """A connection, and what it waits for."""
+    """A connection and its pending poll."""
 
     sock: socket.socket
     http: h11.Connection = field(default_factory=lambda: h11.Connection(h11.SERVER))
@@ -32,7 +32,7 @@
 
 
 class NoticeBoard:
-    """It says what it is told to say, to whoever polls."""
+    """Serves the published events to every client that polls."""
 
     def __init__(self, address: tuple[str, int] = (HOST, 0)) -> None:
         self._sock = socket.create_server(address)
@@ -42,19 +42,19 @@
         self.silent = False
         self._polls: list[Poll] = []
 
-    def say(self, place: tuple[str, int], health: str, born_ms: int = 0, name: str = "") -> None:
-        """One server's state: SERVING, DRAINING or DELETED."""
-        host = {"host": name or format_address(place), "dial": format_address(place), "block": place[1],
-                "health": health, "born_ms": born_ms}  # fmt: skip
+    def publish(self, endpoint: tuple[str, int], health: str, born_ms: int = 0, name: str = "") -> None:
+        """Publish the state of one server: SERVING, DRAINING or DELETED."""
+        host = {"host": name or format_address(endpoint), "dial": format_address(endpoint),
+                "block": endpoint[1], "health": health, "born_ms": born_ms}  # fmt: skip
         number = len(self.notices) + 1
         self.notices.append({"rev": number, "pool": {"whole": False, "hosts": [host]}})
 
     def descriptors(self) -> list[int]:
-        """What to wait for."""
+        """The file descriptors to wait for."""
         return [self._sock.fileno(), *(poll.sock.fileno() for poll in self._polls)]
 
     def pump(self, now: datetime) -> bool:
-        """Take polls, answer those for which there is news or whose time is over."""
+        """Read polls and answer those with new events or an expired wait; whether there were any."""
         busy = False
         try:
             sock, _ = self._sock.accept()
@@ -65,9 +65,9 @@
             pass
         for poll in list(self._polls):
             busy = self._read(now, poll) or busy
-            over = poll.until is not None and now >= poll.until
-            news = poll.after is not None and len(self.notices) > poll.after
-            if poll.after is not None and not self.silent and (news or over):
+            expired = poll.until is not None and now >= poll.until
+            has_notices = poll.after is not None and len(self.notices) > poll.after
+            if poll.after is not None and not self.silent and (has_notices or expired):
                 self._answer(poll)
                 busy = True
         return busy
--- a/standins/callserver.py
+++ b/standins/callserver.py
@@ -1,9 +1,9 @@
-"""A SIP call server over UDP or TCP that does its work one set-up after another and counts what it is sent.
+"""SIP call server over UDP or TCP that processes set-ups one at a time and counts received messages.
 
-server = CallServer(work=timedelta(milliseconds=50))     # 20 set-ups a second, no more
+server = CallServer(work=timedelta(milliseconds=50))     # capacity: 20 set-ups a second
 server.state = "silent"                                  # or "serving", "busy", "cold"
 server.pump(now)
-server.invites                                           # when each new set-up came
+server.invites                                           # arrival time of each new set-up
 """
 
 from __future__ import annotations
@@ -20,42 +20,42 @@
 from reedmount.sip.message import Message, SipError, parse_datagram, response
 
 HOST = "127.0.0.1"
-ROOM = 1 << 17
-REMEMBERED = 20_000  # calls whose last answer is kept, to repeat it
+BUFFER_SIZE = 1 << 17
+MAX_CACHED_ANSWERS = 20_000  # calls whose last INVITE answer is kept for retransmissions
 
 
 @dataclass(slots=True)
 class Stream:
-    """A connection."""
+    """A TCP connection."""
 
     sock: socket.socket
-    ring: Ring = field(default_factory=lambda: Ring(ROOM))
+    ring: Ring = field(default_factory=lambda: Ring(BUFFER_SIZE))
     out: bytearray = field(default_factory=bytearray)
 
 
-Way = Callable[[bytes], None]
+SendData = Callable[[bytes], None]
 
 
 class CallServer:
-    """One processor: a set-up that comes while it works waits; one that would wait too long gets 503."""
+    """One processor with a queue: a set-up that would wait longer than ``max_wait`` gets a 503."""
 
     def __init__(
         self,
         address: tuple[str, int] = (HOST, 0),
         transport: str = "udp",
         work: timedelta = timedelta(milliseconds=20),
-        longest_wait: timedelta = timedelta(milliseconds=800),
-        way: timedelta = timedelta(0),
+        max_wait: timedelta = timedelta(milliseconds=800),
+        reply_delay: timedelta = timedelta(0),
     ) -> None:
-        self.transport, self.work, self.longest_wait, self.way = transport, work, longest_wait, way
+        self.transport, self.work, self.max_wait, self.reply_delay = transport, work, max_wait, reply_delay
         self.state = "serving"
         self.counts: Counter[str] = Counter()
         self.invites: list[datetime] = []
-        self.names: list[str] = []  # the descriptions that came, which name the calls
-        self.standing: set[str] = set()
-        self.confirmed: set[str] = set()  # of these, the ones whose 200 was acknowledged
+        self.names: list[str] = []  # the session descriptions received, which name the calls
+        self.established: set[str] = set()
+        self.confirmed: set[str] = set()  # established calls whose 200 was acknowledged
         self._answers: OrderedDict[str, bytes] = OrderedDict()  # last INVITE answer by Call-ID
-        self._due: list[tuple[datetime, int, Callable[[], None]]] = []
+        self._timers: list[tuple[datetime, int, Callable[[], None]]] = []
         self._order = 0
         self._busy_until: datetime | None = None
         self._streams: dict[int, Stream] = {}
@@ -71,29 +71,29 @@
 
     @property
     def rate(self) -> float:
-        """How many set-ups a second it can do."""
+        """Capacity in set-ups per second."""
         return 1 / self.work.total_seconds()
 
     def descriptors(self) -> list[int]:
-        """What to wait for."""
+        """The file descriptors to wait for."""
         return [self._sock.fileno(), *self._streams]
 
     def pump(self, now: datetime) -> bool:
-        """Take what has come, answer what is done."""
+        """Run due timers and handle what has arrived; whether there was anything to do."""
         busy = False
-        while self._due and self._due[0][0] <= now:
-            heapq.heappop(self._due)[2]()
+        while self._timers and self._timers[0][0] <= now:
+            heapq.heappop(self._timers)[2]()
             busy = True
         return (self._pump_udp(now) if self.transport == "udp" else self._pump_tcp(now)) or busy
 
     def close(self) -> None:
-        """Be gone."""
+        """Close all sockets."""
         self._sock.close()
         for stream in self._streams.values():
             stream.sock.close()
         self._streams.clear()
 
-    # --- the net ---
+    # --- transport ---
 
     def _pump_udp(self, now: datetime) -> bool:
         busy = False
@@ -106,7 +106,7 @@
                 continue
             busy = True
             try:
-                self._take(now, parse_datagram(data), lambda wire, to=source: self._send(wire, to))  # type: ignore[misc]
+                self._handle(now, parse_datagram(data), lambda wire, to=source: self._send(wire, to))  # type: ignore[misc]
             except SipError:
                 self.counts["malformed"] += 1
 
@@ -141,7 +141,7 @@
             stream.ring.write(data)
             try:
                 while (message := next_message(stream.ring)) is not None:
-                    self._take(now, message, lambda wire, to=stream: self._write(to, wire))  # type: ignore[misc]
+                    self._handle(now, message, lambda wire, to=stream: self._write(to, wire))  # type: ignore[misc]
             except SipError:
                 self.counts["malformed"] += 1
         return busy
@@ -154,53 +154,53 @@
 
     # --- SIP ---
 
-    def _take(self, now: datetime, message: Message, send: Way) -> None:
+    def _handle(self, now: datetime, message: Message, send: SendData) -> None:
         self.counts[message.method or f"heard {message.status}"] += 1
         if self.state == "silent" or not message.is_request:
             return
         if message.method == "INVITE":
             self._invite(now, message, send)
         elif message.method == "BYE":
-            self.standing.discard(message.call_id)
+            self.established.discard(message.call_id)
             self.confirmed.discard(message.call_id)
             send(response(message, 200).encode())
         elif message.method == "CANCEL":
             send(response(message, 200, tag="s").encode())
         elif message.method == "ACK":
-            self.confirmed |= {message.call_id} & self.standing
+            self.confirmed |= {message.call_id} & self.established
         else:
             send(response(message, 501, tag="s").encode())
 
-    def _invite(self, now: datetime, message: Message, send: Way) -> None:
-        known = self._answers.get(message.call_id)
-        if known is not None:
+    def _invite(self, now: datetime, message: Message, send: SendData) -> None:
+        cached = self._answers.get(message.call_id)
+        if cached is not None:
             self.counts["repeats"] += 1
-            if known:
-                send(known)
+            if cached:
+                send(cached)
             return
         self.invites.append(now)
         self.names.append(message.body.decode(errors="replace"))
         self._answers[message.call_id] = b""
-        if len(self._answers) > REMEMBERED:
+        if len(self._answers) > MAX_CACHED_ANSWERS:
             self._answers.popitem(last=False)
-        begins = max(now, self._busy_until or now)
-        if self.state == "busy" or begins - now > self.longest_wait:
-            self._later(now + self.way, lambda: self._answer(message, 503, send))
+        start_at = max(now, self._busy_until or now)
+        if self.state == "busy" or start_at - now > self.max_wait:
+            self._call_at(now + self.reply_delay, lambda: self._answer(message, 503, send))
             return
-        self._busy_until = begins + self.work
-        self._later(self._busy_until + self.way, lambda: self._answer(message, 200, send))
+        self._busy_until = start_at + self.work
+        self._call_at(self._busy_until + self.reply_delay, lambda: self._answer(message, 200, send))
 
-    def _answer(self, message: Message, status: int, send: Way) -> None:
+    def _answer(self, message: Message, status: int, send: SendData) -> None:
         host, port = self.address
-        place = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        extra = [("Contact", f"<sip:server@{place};transport={self.transport}>")] if status == 200 else []
+        host_port = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+        extra = [("Contact", f"<sip:server@{host_port};transport={self.transport}>")] if status == 200 else []
         wire = response(message, status, extra, b"there" if status == 200 else b"", tag="s").encode()
         self._answers[message.call_id] = wire
         self.counts[f"answered {status}"] += 1
         if status == 200:
-            self.standing.add(message.call_id)
+            self.established.add(message.call_id)
         send(wire)
 
-    def _later(self, at: datetime, work: Callable[[], None]) -> None:
+    def _call_at(self, at: datetime, work: Callable[[], None]) -> None:
         self._order += 1
-        heapq.heappush(self._due, (at, self._order, work))
+        heapq.heappush(self._timers, (at, self._order, work))
--- a/standins/faults/checks.py
+++ b/standins/faults/checks.py
@@ -79,7 +79,7 @@
     unfair = set(but)
     return [
         f"{name}: {call.name}: {call.finals}" for name, callers in rig.callers.items() if name not in unfair
-        for call in callers.calls.values() if call.began < before and len(set(call.finals)) != 1
+        for call in callers.calls.values() if call.started_at < before and len(set(call.finals)) != 1
     ]  # fmt: skip
 
 
@@ -102,6 +102,6 @@
     wrong = [f"{ref}: nobody placed it" for ref in counts if ref not in placed]
     for ref, call in placed.items():
         over = call.final is not None and (call.final >= 300 or call.released)
-        if over and call.answered is not None and call.answered < before and len(counts[ref]) != 1:
+        if over and call.answered_at is not None and call.answered_at < before and len(counts[ref]) != 1:
             wrong.append(f"{ref}: {call.final}, records at {counts[ref]}")
     return wrong
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,4 +1,4 @@
-"""A whole installation in virtual time: name servers, a notice board, call servers, callers, and the program.
+"""Complete installation in virtual time: name servers, a notice board, call servers, callers and the program.
 
 site = Site(folder, servers=5)
 site.callers(rate=72.0).start(site.now, timedelta(seconds=10))
@@ -22,7 +22,7 @@
 from standins.world import World
 
 SRV = "_sip._udp.calls.example."
-LATE = timedelta(milliseconds=250)  # nothing new reaches a server later than this after word that it leaves
+DRAIN_GRACE = timedelta(milliseconds=250)  # set-ups may still arrive for so long after a leaving notice
 
 FILE = """
 [sip]
@@ -51,36 +51,36 @@
 
 
 @dataclass(slots=True)
-class Referee:
-    """Knows who was said to leave and when, and looks at what reached whom after that."""
+class DrainChecker:
+    """Records when servers were reported as leaving and finds set-ups that reached them afterwards."""
 
-    left: dict[Endpoint, list[tuple[datetime, datetime | None]]] = field(default_factory=dict)
+    leaving_spans: dict[Endpoint, list[tuple[datetime, datetime | None]]] = field(default_factory=dict)
 
-    def leaves(self, now: datetime, place: Endpoint) -> None:
-        """A source has said so at this instant."""
-        spans = self.left.setdefault(place, [])
+    def mark_leaving(self, now: datetime, endpoint: Endpoint) -> None:
+        """Record that a source reports the server as leaving from now on."""
+        spans = self.leaving_spans.setdefault(endpoint, [])
         if not spans or spans[-1][1] is not None:
             spans.append((now, None))
 
-    def back(self, now: datetime, place: Endpoint) -> None:
-        """No source says so any more."""
-        spans = self.left.get(place)
+    def mark_serving(self, now: datetime, endpoint: Endpoint) -> None:
+        """Record that no source reports the server as leaving any more."""
+        spans = self.leaving_spans.get(endpoint)
         if spans and spans[-1][1] is None:
             spans[-1] = (spans[-1][0], now)
 
-    def late(self, servers: list[CallServer]) -> list[str]:
-        """Set-ups that came when the server had been said to leave for too long."""
+    def late_setups(self, servers: list[CallServer]) -> list[str]:
+        """Describe set-ups that reached a leaving server after the grace period."""
         return [
-            f"{format_address(server.address)}: {came - since} after the word"
+            f"{format_address(server.address)}: {received_at - since} after the notice"
             for server in servers
-            for since, until in self.left.get(server.address, ())
-            for came in server.invites
-            if came > since + LATE and (until is None or came < until)
+            for since, until in self.leaving_spans.get(server.address, ())
+            for received_at in server.invites
+            if received_at > since + DRAIN_GRACE and (until is None or received_at < until)
         ]
 
 
 class Site(World):
-    """The program as an operator starts it, among stand-ins, on real loopback sockets."""
+    """The program as started by an operator, with stand-ins on real loopback sockets."""
 
     def __init__(
         self,
@@ -98,86 +98,86 @@
     ) -> None:
         super().__init__()
         self.ttl = ttl
-        self.names = [NameServer(seed=number) for number in range(name_servers)]
+        self.dns_servers = [NameServer(seed=number) for number in range(name_servers)]
         self.servers = [CallServer(work=work) for _ in range(servers)]
         self.board = NoticeBoard()
-        self.referee = Referee()
+        self.drain_checker = DrainChecker()
         self.ranks = {server.address: (10, 10) for server in self.servers}
         self.publish()
         for server in self.servers:
             if board:
-                self.board.say(server.address, "SERVING")
-        for name in self.names:
+                self.board.publish(server.address, "SERVING")
+        for dns_server in self.dns_servers:
             if dead:
-                name.kill()
+                dns_server.kill()
         self.file = folder / "site.toml"
         listed = f'board = "{format_address(self.board.address)}"\n' if board else ""
-        addresses = ", ".join(f'"{format_address(name.address)}"' for name in self.names)
+        addresses = ", ".join(f'"{format_address(dns_server.address)}"' for dns_server in self.dns_servers)
         self.file.write_text(
             FILE.format(cold_s=cold_s, pool=listed + pool, srv=SRV, name_servers=addresses, more=more)
         )
-        self.stands += [*self.names, self.board, *self.servers]
+        self.stand_ins += [*self.dns_servers, self.board, *self.servers]
         if start:
             self.start()
 
     def start(self) -> None:
-        """Start the program."""
+        """Start the program from its configuration file."""
         self.node = serve_sip(self.loop, lambda: read_operator(self.file))
         parts = self.node.parts
         assert isinstance(parts, tuple)
         self.front, sources, *_ = parts
         assert isinstance(sources, Sources)
         self.sources, self.host = sources, sources.host
-        self.settle()
+        self.run_until_idle()
 
     def callers(self, rate: float, seed: int = 1) -> Callers:
-        """Callers of the program."""
-        made = Callers(self.front.endpoint.address, rate, seed)
-        self.stands.append(made)
-        return made
+        """Add callers of the program."""
+        callers = Callers(self.front.endpoint.address, rate, seed)
+        self.stand_ins.append(callers)
+        return callers
 
     def publish(self, *without: CallServer) -> None:
-        """Have the name servers' records name all call servers, without some."""
-        for name in self.names:
-            rows = []
+        """Publish SRV records for all call servers except some on all name servers."""
+        for dns_server in self.dns_servers:
+            srv_records = []
             for number, server in enumerate(self.servers):
                 if server not in without:
                     priority, weight = self.ranks[server.address]
-                    rows.append((priority, weight, server.address[1], f"c{number}"))
-                    name.host(f"c{number}", server.address[0], ttl=self.ttl)
-            name.srv(SRV, *rows, ttl=self.ttl)
+                    srv_records.append((priority, weight, server.address[1], f"c{number}"))
+                    dns_server.host(f"c{number}", server.address[0], ttl=self.ttl)
+            dns_server.srv(SRV, *srv_records, ttl=self.ttl)
 
-    def plan(self, name: str, **words: float) -> None:
-        """The same plan for all name servers."""
-        for server in self.names:
-            server.plan(name, **words)  # type: ignore[arg-type]
+    def plan(self, name: str, **options: float) -> None:
+        """Set the same fault plan on all name servers."""
+        for server in self.dns_servers:
+            server.plan(name, **options)  # type: ignore[arg-type]
 
     def drain(self, server: CallServer, state: str = "DRAINING") -> None:
-        """By the list, now."""
-        self.board.say(server.address, state)
-        self.referee.leaves(self.now, server.address)
+        """Report the server as leaving on the notice board."""
+        self.board.publish(server.address, state)
+        self.drain_checker.mark_leaving(self.now, server.address)
 
     def undrain(self, server: CallServer) -> None:
-        """By the list, now."""
-        self.board.say(server.address, "SERVING")
-        self.referee.back(self.now, server.address)
+        """Report the server as serving on the notice board."""
+        self.board.publish(server.address, "SERVING")
+        self.drain_checker.mark_serving(self.now, server.address)
 
     def serving(self) -> set[Endpoint]:
-        """Where calls may go, as the pool has it."""
-        return {place for place, entry in self.host.pool.entries.items() if entry.serves}
+        """Endpoints of the servers that the pool considers serving."""
+        return {endpoint for endpoint, entry in self.host.pool.entries.items() if entry.serves}
 
     def run(self, span: timedelta, step: timedelta = timedelta(milliseconds=5)) -> None:
-        """Let time pass; the referee follows what SRV has said as soon as the program has heard it."""
+        """Advance virtual time, and update the drain checker with the SRV state that the program has."""
         end = self.now + span
         while self.now < end:
             super().run(min(step, end - self.now), step)
             for server in self.servers:
-                place = server.address
-                held = self.host.pool.sources["srv"].state_of(self.now, place).value
-                if held == "gone":
-                    self.referee.leaves(self.now, place)
-                elif self.host.pool.sources["list"].state_of(self.now, place).value not in (
+                endpoint = server.address
+                srv_state = self.host.pool.sources["srv"].state_of(self.now, endpoint).value
+                if srv_state == "gone":
+                    self.drain_checker.mark_leaving(self.now, endpoint)
+                elif self.host.pool.sources["list"].state_of(self.now, endpoint).value not in (
                     "gone",
                     "draining",
                 ):
-                    self.referee.back(self.now, place)
+                    self.drain_checker.mark_serving(self.now, endpoint)
--- a/tests/test_member_handover.py
+++ b/tests/test_member_handover.py
@@ -62,19 +62,19 @@
     watcher = Membership(world.loop, settings_of(list(map(format_address, places)), places[1], 1))
     seen: list[str] = []
     watcher.on_change(_lives(seen))
-    assert world.until(lambda: bool(seen), timedelta(seconds=5))
+    assert world.run_until(lambda: bool(seen), timedelta(seconds=5))
     successor = MemberHandover(world.loop, settings_of(list(map(format_address, places)), places[0], 0))
     world.run(timedelta(seconds=1))
     assert old.membership is not None and successor.membership is None, "the first one has the clients still"
     old.hand_over(True)
     assert old.membership is None
-    assert world.until(lambda: len(seen) == 2, timedelta(seconds=3)), "a new life of the same member"
+    assert world.run_until(lambda: len(seen) == 2, timedelta(seconds=3)), "a new life of the same member"
     world.run(timedelta(seconds=1))  # it has heard the others as well
     successor.leave()
-    world.settle()
+    world.run_until_idle()
     old.hand_over(False)
     old.hand_over(False)
-    assert world.until(lambda: len(seen) == 4, timedelta(seconds=3)), seen
+    assert world.run_until(lambda: len(seen) == 4, timedelta(seconds=3)), seen
     kinds = [text.partition(" ")[0] for text in seen]
     assert kinds == ["alive", "alive", "left", "alive"], seen
     assert len({text.partition(" ")[2] for text in seen}) == 3, "a life each"
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -119,7 +119,7 @@
         Membership(world.loop, replace(told, name=f"n{number}", listen=place, advertise=place))
         for number, place in enumerate(places, 1)
     ]
-    assert world.until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
+    assert world.run_until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
     assert {peer.standing for peer in group} == {Standing.MAJORITY}
     shown = group[0].view({})
     assert [line["name"] for line in shown["members"]] == ["n1", "n2", "n3"]  # type: ignore[attr-defined]
@@ -148,7 +148,7 @@
     assert not group[1]._looking and COUNTERS["members.heard"] > faults, "a fault made it deaf"
 
     group[2].leave()
-    assert world.until(lambda: group[0].alive == 2, timedelta(seconds=2))
+    assert world.run_until(lambda: group[0].alive == 2, timedelta(seconds=2))
     group[2].close()
     world.run(timedelta(seconds=20))
     assert {peer.standing for peer in group[:2]} == {Standing.MAJORITY}
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -37,7 +37,7 @@
             server.srv(SRV.name, (10, 60, 5070, "zurich"), (20, 40, 5071, "geneva"))
             server.host("zurich", "127.0.0.2", "::1")
             server.host("geneva", "127.0.0.3")
-        self.stands += self.servers
+        self.stand_ins += self.servers
         self.resolver = Resolver(
             self.loop,
             ResolverSettings(tuple(s.address for s in self.servers), limits=CacheLimits(**cache_limits)),  # type: ignore[arg-type]
@@ -51,7 +51,7 @@
     def lookup(self, question: Question = SRV, fresh: bool = False) -> Answer | LookupFailed:
         results: list[Answer | LookupFailed] = []
         self.resolver.resolve(question, results.append, fresh)
-        assert self.until(lambda: bool(results), 20 * S), "the question did not end"
+        assert self.run_until(lambda: bool(results), 20 * S), "the question did not end"
         assert len(results) == 1
         return results[0]
 
@@ -100,7 +100,7 @@
     results: list[object] = []
     for _ in range(50):
         net.resolver.resolve(SRV, results.append)
-    net.until(lambda: len(results) == 50, S)
+    net.run_until(lambda: len(results) == 50, S)
     assert len(results) == 50 and net.servers[0].counts["SRV"] == 1
     net.run(29 * S, S)
     net.lookup_good()
@@ -244,7 +244,7 @@
     for number in range(3 * MAX_IN_FLIGHT):
         net.resolver.resolve(Question(f"h{number}.calls.example.", dns.rdatatype.A), results.append)
     assert net.resolver.in_flight == MAX_IN_FLIGHT
-    assert net.until(lambda: len(results) == 3 * MAX_IN_FLIGHT, 10 * S)
+    assert net.run_until(lambda: len(results) == 3 * MAX_IN_FLIGHT, 10 * S)
 
 
 def test_two_thousand_targets_are_read_in_slices(net: Net) -> None:
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -47,15 +47,15 @@
     until = site.now
     site.run(5 * S)
     assert callers.counts["calls"] > 0 and callers.faults() == []
-    assert site.referee.late(site.servers) == []
-    return site, callers.share(started, until)
+    assert site.drain_checker.late_setups(site.servers) == []
+    return site, callers.established_share(started, until)
 
 
 def test_drains_and_service_hold_under_load_with_every_fault(tmp_path: Path) -> None:
     """Runs 36 calls/s, 90% of what four of six servers can take; each call gets one final answer."""
     faults = [name for name in FAULTS if name != "good"]
     site, share = campaign(tmp_path, faults, 36.0)
-    seen_faults = {fault for fault in faults if any(name.counts[f"did {fault}"] for name in site.names)}
+    seen_faults = {fault for fault in faults if any(name.counts[f"did {fault}"] for name in site.dns_servers)}
     assert seen_faults == set(faults)
     assert not site.node.switch.unanswered
     _, undisturbed = campaign(tmp_path, ["good"] * len(faults), 36.0)
@@ -71,7 +71,7 @@
     site.run(2 * S)
     site.drain(site.servers[0], "DELETED")
     site.run(8 * S)
-    assert site.referee.late(site.servers) == [] and callers.faults() == []
+    assert site.drain_checker.late_setups(site.servers) == [] and callers.faults() == []
     entry = site.host.pool.entries[site.servers[0].address]
     assert entry.rule is Rule.GONE
     assert site.host.pool.claim_states(site.now, entry.endpoint)["srv"] is ClaimState.SERVING
@@ -85,8 +85,12 @@
     callers.start(site.now, 10 * S)
     site.publish(site.servers[1])
     site.run(12 * S)
-    assert site.referee.left and site.referee.late(site.servers) == [] and callers.faults() == []
-    assert callers.share(site.now - 12 * S, site.now) > 0.98
+    assert (
+        site.drain_checker.leaving_spans
+        and site.drain_checker.late_setups(site.servers) == []
+        and callers.faults() == []
+    )
+    assert callers.established_share(site.now - 12 * S, site.now) > 0.98
 
 
 @pytest.mark.parametrize("outage_s", [3, 30])
@@ -95,7 +99,7 @@
 ) -> None:
     """After 3 s of silence, a name server reachable only over UDP was once not queried for a long time."""
     site = Site(tmp_path, board=False, name_servers=1)
-    site.names[0].refuse_tcp()
+    site.dns_servers[0].refuse_tcp()
     site.run(S)
     assert len(site.serving()) == 3
     site.plan("silence")
@@ -126,7 +130,7 @@
     assert site.serving() == known
     assert {entry.rule for entry in site.host.pool.entries.values()} == {Rule.KEPT}
     assert callers.faults() == [] and all(call.final == 200 for call in callers.calls.values())
-    assert not [asked for name in site.names for asked in name.asked[-1:] if asked.over_tcp is None]
+    assert not [asked for name in site.dns_servers for asked in name.asked[-1:] if asked.over_tcp is None]
     site.plan("good")
     site.run(60 * S, 50 * MS)
     assert site.serving() == known - {site.servers[0].address}
@@ -144,16 +148,16 @@
     callers = site.callers(10)
     callers.start(site.now, 3 * S)
     site.run(6 * S)
-    assert callers.faults() == [] and callers.share(site.now - 6 * S, site.now) == 1.0
+    assert callers.faults() == [] and callers.established_share(site.now - 6 * S, site.now) == 1.0
     new_server = CallServer()
     site.servers.append(new_server)
-    site.stands.append(new_server)
+    site.stand_ins.append(new_server)
     site.ranks[new_server.address] = (10, 10)
     site.run(3600 * S, S)
     site.publish()
-    for name in site.names:
+    for name in site.dns_servers:
         name.revive()
-    assert site.until(lambda: len(site.serving()) == 4, 120 * S)
+    assert site.run_until(lambda: len(site.serving()) == 4, 120 * S)
     entries = site.host.pool.entries
     assert [entries[server.address].started is None for server in site.servers] == [True] * 3 + [False]
 
@@ -167,9 +171,9 @@
     site.run(6 * S)
     assert {call.final for call in callers.calls.values()} == {503} and callers.faults() == []
     assert not site.node.switch.lifecycle.ready
-    for name in site.names:
+    for name in site.dns_servers:
         name.revive()
-    assert site.until(lambda: len(site.serving()) == 3, 30 * S)
+    assert site.run_until(lambda: len(site.serving()) == 3, 30 * S)
     assert site.node.switch.lifecycle.phase is Phase.READY
 
 
@@ -182,8 +186,11 @@
         site.publish(site.servers[turn % 3])
         site.run(500 * MS)
     site.run(5 * S)
-    assert site.referee.late(site.servers) == [] and callers.faults() == []
-    assert len(site.referee.left) == 3 and callers.share(site.now - 25 * S, site.now) > 0.95
+    assert site.drain_checker.late_setups(site.servers) == [] and callers.faults() == []
+    assert (
+        len(site.drain_checker.leaving_spans) == 3
+        and callers.established_share(site.now - 25 * S, site.now) > 0.95
+    )
     assert len(site.host.pool.entries) <= 3 and len(site.host.pool._tombstones) <= 3
 
 
@@ -197,18 +204,18 @@
     callers.hold = 12 * S
     callers.start(site.now, 2 * S)
     site.run(2 * S)
-    assert former.standing and not spare.invites, "the higher band is closed"
+    assert former.established and not spare.invites, "the higher band is closed"
     site.ranks[former.address], site.ranks[spare.address] = (30, 10), (10, 10)
     site.publish()
     site.run(3 * S)
     before = len(former.invites)
-    standing = set(former.standing)
+    standing = set(former.established)
     callers.start(site.now, 3 * S)
     site.run(4 * S)
     assert spare.invites and len(former.invites) == before
-    assert standing and standing <= former.standing, "its calls continue"
+    assert standing and standing <= former.established, "its calls continue"
     site.run(16 * S)
-    assert callers.faults() == [] and not former.standing, "released by their callers"
+    assert callers.faults() == [] and not former.established, "released by their callers"
 
 
 def test_the_next_band_opens_under_pressure_and_closes_again(tmp_path: Path) -> None:
@@ -280,12 +287,12 @@
     callers = site.callers(200)
     callers.start(site.now, 4 * S)
     site.publish(leaving)
-    assert site.until(lambda: leaving.address not in site.serving(), 4 * S)
+    assert site.run_until(lambda: leaving.address not in site.serving(), 4 * S)
     told_at = site.now
     site.run(6 * S)
     assert leaving.invites and not [sent_at for sent_at in leaving.invites if sent_at > told_at + 5 * MS]
     assert callers.faults() == [] and [sent_at for sent_at in other.invites if sent_at > told_at]
-    assert callers.share(told_at, site.now) > 0.99
+    assert callers.established_share(told_at, site.now) > 0.99
 
 
 def test_a_cold_server_named_by_two_sources_at_different_times_is_paced_once(tmp_path: Path) -> None:
@@ -293,13 +300,13 @@
     site.run(12 * S)
     new_server = CallServer()
     site.servers.append(new_server)
-    site.stands.append(new_server)
+    site.stand_ins.append(new_server)
     site.ranks[new_server.address] = (10, 10)
     site.publish()
-    assert site.until(lambda: new_server.address in site.serving(), 5 * S)
+    assert site.run_until(lambda: new_server.address in site.serving(), 5 * S)
     started = site.host.pool.entries[new_server.address].started
     site.run(4 * S)
-    site.board.say(new_server.address, "SERVING")
+    site.board.publish(new_server.address, "SERVING")
     site.run(2 * S)
     assert site.host.pool.entries[new_server.address].started == started is not None
 
@@ -339,7 +346,7 @@
         operator.settimeout(0.05)
         response = b""
         for _ in range(40):
-            site.settle()
+            site.run_until_idle()
             try:
                 response += operator.recv(65536)
             except TimeoutError:
@@ -359,7 +366,7 @@
     site.file.write_text(site.file.read_text().replace("[sip]", '[sip]\nlisten6 = "[::1]:0"'))
     server = CallServer(("::1", 0))
     site.servers.append(server)
-    site.stands.append(server)
+    site.stand_ins.append(server)
     site.ranks[server.address] = (10, 10)
     site.publish()
     site.start()
@@ -396,10 +403,10 @@
     site = Site(tmp_path, servers=1, board=False)
     site.run(S)
     host = site.servers[0].address[0]
-    for name in site.names:
+    for name in site.dns_servers:
         name.srv("_sip._udp.calls.example.", *((10, 1, port, "c0") for port in range(10_000, 12_000)), ttl=60)
         name.host("c0", host)
     started = site.now
-    assert site.until(lambda: len(site.serving()) >= 2000, 5 * S)
+    assert site.run_until(lambda: len(site.serving()) >= 2000, 5 * S)
     answered_at = site.host.pool.sources["srv"].parts["_sip._udp.calls.example."].last_answer_at
     assert answered_at is not None and site.now - answered_at < S and answered_at - started < 3 * S
