--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -118,11 +118,11 @@
     site.plan(fault)
     site.run(span / 6)
     site.drain(site.servers[0])
-    site.publish(site.servers[3])
+    site.publish_srv(site.servers[3])
     site.run(span / 3)
     site.plan("good")
     site.run(span / 6)
-    site.publish()
+    site.publish_srv()
     site.undrain(site.servers[0])
     site.run(span / 6)
     until = site.now
--- a/standins/site.py
+++ b/standins/site.py
@@ -103,7 +103,7 @@
         self.board = NoticeBoard()
         self.drain_checker = DrainChecker()
         self.ranks = {server.address: (10, 10) for server in self.servers}
-        self.publish()
+        self.publish_srv()
         for server in self.servers:
             if board:
                 self.board.publish(server.address, "SERVING")
@@ -132,11 +132,11 @@
 
     def callers(self, rate: float, seed: int = 1) -> Callers:
         """Add callers of the program."""
-        callers = Callers(self.front.endpoint.address, rate, seed)
-        self.stand_ins.append(callers)
-        return callers
+        new_callers = Callers(self.front.endpoint.address, rate, seed)
+        self.stand_ins.append(new_callers)
+        return new_callers
 
-    def publish(self, *without: CallServer) -> None:
+    def publish_srv(self, *without: CallServer) -> None:
         """Publish SRV records for all call servers except some on all name servers."""
         for dns_server in self.dns_servers:
             srv_records = []
--- a/standins/soak/board.py
+++ b/standins/soak/board.py
@@ -98,10 +98,10 @@
         for notice in self.notices:
             for host in notice.hosts:
                 if host["host"] == server and host["health"] != "SERVING":
-                    deemed = max(notice.at, self.healthy_since) + PRESUMED_NOTIFIED_S
+                    presumed = max(notice.at, self.healthy_since) + PRESUMED_NOTIFIED_S
                     if self.mode is not BoardMode.HEALTHY:
-                        deemed = float("inf")
-                    return min(deemed, self.history.leave_sent_at.get((node, server), float("inf")))
+                        presumed = float("inf")
+                    return min(presumed, self.history.leave_sent_at.get((node, server), float("inf")))
         return float("inf")
 
     def _wake(self) -> None:
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -35,10 +35,10 @@
         site.plan(fault)
         drained, omitted = site.servers[turn % 6], site.servers[(turn + 3) % 6]
         site.drain(drained)
-        site.publish(omitted)
+        site.publish_srv(omitted)
         site.run(2 * S)
         site.plan("good")
-        site.publish()
+        site.publish_srv()
         site.undrain(drained)
         site.run(3 * S)
         while site.host.pool.sources["srv"].parts[SRV].failures:
@@ -83,7 +83,7 @@
     site.board.silent = True
     callers = site.callers(20)
     callers.start(site.now, 10 * S)
-    site.publish(site.servers[1])
+    site.publish_srv(site.servers[1])
     site.run(12 * S)
     assert (
         site.drain_checker.leaving_spans
@@ -103,7 +103,7 @@
     site.run(S)
     assert len(site.serving()) == 3
     site.plan("silence")
-    site.publish(site.servers[0])
+    site.publish_srv(site.servers[0])
     site.run(outage_s * S, 50 * MS)
     site.plan("good")
     restored_at = site.seconds
@@ -121,7 +121,7 @@
     known = site.serving()
     assert len(known) == 3
     site.plan("slow", seconds=30)
-    site.publish(site.servers[0])
+    site.publish_srv(site.servers[0])
     callers = site.callers(5)
     for _ in range(outage // 30):
         callers.start(site.now, 2 * S)
@@ -154,7 +154,7 @@
     site.stand_ins.append(new_server)
     site.ranks[new_server.address] = (10, 10)
     site.run(3600 * S, S)
-    site.publish()
+    site.publish_srv()
     for name in site.dns_servers:
         name.revive()
     assert site.run_until(lambda: len(site.serving()) == 4, 120 * S)
@@ -183,7 +183,7 @@
     callers = site.callers(10)
     callers.start(site.now, 20 * S)
     for turn in range(40):
-        site.publish(site.servers[turn % 3])
+        site.publish_srv(site.servers[turn % 3])
         site.run(500 * MS)
     site.run(5 * S)
     assert site.drain_checker.late_setups(site.servers) == [] and callers.faults() == []
@@ -197,7 +197,7 @@
 def test_a_server_that_moves_between_bands_keeps_its_established_calls(tmp_path: Path) -> None:
     site = Site(tmp_path, board=False)
     site.ranks[site.servers[2].address] = (20, 10)
-    site.publish()
+    site.publish_srv()
     site.run(3 * S)
     former, spare = site.servers[0], site.servers[2]
     callers = site.callers(20)
@@ -206,14 +206,14 @@
     site.run(2 * S)
     assert former.established and not spare.invites, "the higher band is closed"
     site.ranks[former.address], site.ranks[spare.address] = (30, 10), (10, 10)
-    site.publish()
+    site.publish_srv()
     site.run(3 * S)
     before = len(former.invites)
-    standing = set(former.established)
+    established = set(former.established)
     callers.start(site.now, 3 * S)
     site.run(4 * S)
     assert spare.invites and len(former.invites) == before
-    assert standing and standing <= former.established, "its calls continue"
+    assert established and established <= former.established, "its calls continue"
     site.run(16 * S)
     assert callers.faults() == [] and not former.established, "released by their callers"
 
@@ -222,7 +222,7 @@
     site = Site(tmp_path, board=False, pool="close_s = 3.0")
     for server in site.servers[1:]:
         site.ranks[server.address] = (20, 10)
-    site.publish()
+    site.publish_srv()
     site.run(3 * S)
     callers = site.callers(5)
     callers.start(site.now, 3 * S)
@@ -286,7 +286,7 @@
     leaving, other = site.servers
     callers = site.callers(200)
     callers.start(site.now, 4 * S)
-    site.publish(leaving)
+    site.publish_srv(leaving)
     assert site.run_until(lambda: leaving.address not in site.serving(), 4 * S)
     told_at = site.now
     site.run(6 * S)
@@ -302,7 +302,7 @@
     site.servers.append(new_server)
     site.stand_ins.append(new_server)
     site.ranks[new_server.address] = (10, 10)
-    site.publish()
+    site.publish_srv()
     assert site.run_until(lambda: new_server.address in site.serving(), 5 * S)
     started = site.host.pool.entries[new_server.address].started
     site.run(4 * S)
@@ -368,7 +368,7 @@
     site.servers.append(server)
     site.stand_ins.append(server)
     site.ranks[server.address] = (10, 10)
-    site.publish()
+    site.publish_srv()
     site.start()
     callers = site.callers(10)
     site.run(S)
