--- a/tests/test_member_handover.py
+++ b/tests/test_member_handover.py
@@ -66,7 +66,7 @@
     )
     seen: list[str] = []
     watcher.on_change(_record_states(seen))
-    assert world.until(lambda: bool(seen), timedelta(seconds=5))
+    assert world.run_until(lambda: bool(seen), timedelta(seconds=5))
     successor = MemberHandover(
         world.loop, membership_settings(list(map(format_address, addresses)), addresses[0], 0)
     )
@@ -74,13 +74,13 @@
     assert old.membership is not None and successor.membership is None, "the first one still has the clients"
     old.hand_over(True)
     assert old.membership is None
-    assert world.until(lambda: len(seen) == 2, timedelta(seconds=3)), "the same member with a new boot id"
+    assert world.run_until(lambda: len(seen) == 2, timedelta(seconds=3)), "the same member with a new boot id"
     world.run(timedelta(seconds=1))  # it has received the others' datagrams as well
     successor.leave()
-    world.settle()
+    world.run_until_idle()
     old.hand_over(False)
     old.hand_over(False)
-    assert world.until(lambda: len(seen) == 4, timedelta(seconds=3)), seen
+    assert world.run_until(lambda: len(seen) == 4, timedelta(seconds=3)), seen
     kinds = [text.partition(" ")[0] for text in seen]
     assert kinds == ["alive", "alive", "left", "alive"], seen
     assert len({text.partition(" ")[2] for text in seen}) == 3, "a boot id each"
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -121,7 +121,7 @@
         Membership(world.loop, replace(configured, name=f"n{number}", listen=address, advertise=address))
         for number, address in enumerate(addresses, 1)
     ]
-    assert world.until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
+    assert world.run_until(lambda: all(peer.alive == 3 for peer in group), timedelta(seconds=5))
     assert {peer.quorum_state for peer in group} == {QuorumState.MAJORITY}
     shown = group[0].view({})
     assert [line["name"] for line in shown["members"]] == ["n1", "n2", "n3"]  # type: ignore[attr-defined]
@@ -152,7 +152,7 @@
     )
 
     group[2].leave()
-    assert world.until(lambda: group[0].alive == 2, timedelta(seconds=2))
+    assert world.run_until(lambda: group[0].alive == 2, timedelta(seconds=2))
     group[2].close()
     world.run(timedelta(seconds=20))
     assert {peer.quorum_state for peer in group[:2]} == {QuorumState.MAJORITY}
