--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -31,7 +31,7 @@
 from reedmount.store.disk import RealDisk
 from reedmount.store.log import Log
 from reedmount.store.writer import Writer
-from standins.faults.cases import COPIES
+from standins.faults.cases import REPLICA_SETTINGS
 from standins.faults.rig import Rig
 
 NAMES = ("n1", "n2", "n3")
@@ -151,7 +151,7 @@
 def _calls(folder: Path, more: str, rate: float, seconds: float) -> tuple[float, list[float]]:
     """Processor time a call beyond what an idle group uses, and how long answers took, in seconds."""
     with Rig(folder, 5, 1, servers=8, call_rate=rate, more=more, hold_s=1.0) as rig:
-        rig.started()
+        rig.start_and_wait()
         rig.run(3)
         before = _processor_s(rig)
         rig.run(seconds)
@@ -176,7 +176,7 @@
     click.echo("| --- | --- | --- | --- | --- | --- |")
     for pair in range(1, pairs + 1):
         found = []
-        for more in ("", COPIES):
+        for more in ("", REPLICA_SETTINGS):
             with tempfile.TemporaryDirectory() as folder:
                 found.append(_calls(Path(folder), more, rate, seconds))
         (off, off_spans), (on, on_spans) = found
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -233,24 +233,24 @@
 def _real(loss: float, seconds: float, kills: int, folder: str) -> dict[str, object]:
     firsts, alls = [], []
     with Rig(Path(folder), 8, 1) as rig:
-        rig.started()
-        rig.net.every(loss=loss, delay_s=DELAY_S[0], jitter_s=DELAY_S[1] - DELAY_S[0])
+        rig.start_and_wait()
+        rig.net.set_links(loss=loss, delay_s=DELAY_S[0], jitter_s=DELAY_S[1] - DELAY_S[0])
         rig.run(10)
         since = rig.history.now_s
         rig.run(seconds)
-        false = checks.suspected(rig.history, since)
-        dead = len(checks.died(rig.history, since))
+        false = checks.suspicion_count(rig.history, since)
+        dead = len(checks.reported_dead(rig.history, since))
         for number in range(kills):
             name = rig.names[number % 8]
             others = [other for other in rig.names if other != name]
             at = rig.history.now_s
             rig.kill(name)
             rig.until(lambda: all(rig.state(other, name) == "dead" for other in others), 90)  # noqa: B023
-            found = checks.found_dead(rig.history, name, at, others)
+            found = checks.detection_times(rig.history, name, at, others)
             firsts.append(found[0])
             alls.append(found[-1])
             rig.start([name])
-            rig.until(rig.agreed, 30)
+            rig.until(rig.views_agree, 30)
             rig.run(5)
     return {
         "members": 8, "loss": loss, "first": firsts, "all": alls, "false": false,
--- a/standins/faults/__init__.py
+++ b/standins/faults/__init__.py
@@ -1,1 +1,1 @@
-"""The fault rig: real processes of the program, a net of our own between them, seeded faults, a history."""
+"""Fault injection: real processes, a simulated network between them, seeded faults and an event history."""
--- a/standins/faults/__main__.py
+++ b/standins/faults/__main__.py
@@ -1,4 +1,4 @@
-"""Play cases of the fault rig: ``python -m standins.faults partition --seed 1 --folder found/partition``."""
+"""Run cases of the fault rig: ``python -m standins.faults partition --seed 1 --folder found/partition``."""
 
 from __future__ import annotations
 
@@ -14,9 +14,14 @@
 @click.command()
 @click.argument("name", type=click.Choice(sorted(CASES)))
 @click.option("--seed", default=1, show_default=True)
-@click.option("--folder", type=click.Path(path_type=Path), required=True, help="files, logs and the history")
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="where settings, logs and the history are written",
+)
 def main(name: str, seed: int, folder: Path) -> None:
-    """Play one case; its figures are a line of JSON, and the exit status says whether all held."""
+    """Run one case, print its figures as a line of JSON, and exit with status 1 if a check failed."""
     try:
         figures = CASES[name](folder, seed)
     except AssertionError as error:
--- a/standins/faults/checks.py
+++ b/standins/faults/checks.py
@@ -1,4 +1,4 @@
-"""What must hold, read from outside: the history of the members, and what callers and call servers saw."""
+"""Checks on a run: the history that members reported, and what callers and call servers observed."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 from standins.faults.rig import Rig
 
 
-def died(history: History, since: float, but: Collection[str] = ()) -> list[str]:
-    """Members that somebody called dead, who are none of these."""
+def reported_dead(history: History, since: float, excluded: Collection[str] = ()) -> list[str]:
+    """Describe each report of a member as dead, except for the members in ``excluded``."""
     return sorted({
-        f"{line['about']} by {line['by']} at {line['t']}" for line in history.states(since, "dead")
-        if line["about"] not in but
+        f"{line['about']} by {line['by']} at {line['t']}" for line in history.state_changes(since, "dead")
+        if line["about"] not in excluded
     })  # fmt: skip
 
 
-def suspected(history: History, since: float, but: Collection[str] = ()) -> int:
-    """How many suspicions there were of members that are none of these; one that spreads counts once."""
+def suspicion_count(history: History, since: float, excluded: Collection[str] = ()) -> int:
+    """Count suspicions of members that are not in ``excluded``; one that is disseminated counts once."""
     return len({
         (line["about"], line["new"]["incarnation"], line["new"]["life"])
-        for line in history.states(since, "suspect")
-        if line["about"] not in but
+        for line in history.state_changes(since, "suspect")
+        if line["about"] not in excluded
     })  # fmt: skip
 
 
-def found_dead(history: History, who: str, since: float, by: Collection[str]) -> list[float]:
-    """How long it took each of these to call a member dead."""
-    first: dict[str, float] = {}
-    for line in history.states(since, "dead"):
-        if line["about"] == who and line["by"] in by:
-            first.setdefault(line["by"], line["t"] - since)
-    return sorted(first.values())
+def detection_times(history: History, member: str, since: float, observers: Collection[str]) -> list[float]:
+    """Return the seconds that each of ``observers`` took to declare ``member`` dead, sorted."""
+    first_seen: dict[str, float] = {}
+    for line in history.state_changes(since, "dead"):
+        if line["about"] == member and line["by"] in observers:
+            first_seen.setdefault(line["by"], line["t"] - since)
+    return sorted(first_seen.values())
 
 
-def restless(history: History, since: float) -> int:
-    """The most changes of one member in one view: what a flap storm is known by."""
+def max_state_changes(history: History, since: float) -> int:
+    """Return the largest number of state changes of one member in one view, which indicates flapping."""
     counts: dict[tuple[str, str], int] = defaultdict(int)
-    for line in history.states(since):
+    for line in history.state_changes(since):
         counts[line["by"], line["about"]] += 1
     return max(counts.values(), default=0)
 
 
-def incarnations_fall(history: History) -> list[str]:
-    """Views in which the incarnation of a member fell, within one life of the viewer."""
+def decreased_incarnations(history: History) -> list[str]:
+    """List views in which the incarnation of a member decreased within one run of the observing process."""
     highest: dict[tuple[str, int, str], int] = {}
     found = []
-    for line in history.since(0, "member"):
+    for line in history.entries_since(0, "member"):
         if line["new"] is None:
             continue
         key, now = (line["by"], line["life"], line["about"]), line["new"]["incarnation"]
@@ -59,11 +59,11 @@
     return found
 
 
-def stood(history: History, names: Collection[str], since: float, until: float) -> set[str]:
-    """The standings that these had within a span, those at its start included."""
+def observed_quorum_states(history: History, names: Collection[str], since: float, until: float) -> set[str]:
+    """Return the quorum states of these members within a time span, including the state at its start."""
     at_start: dict[str, str] = {}
     within: set[str] = set()
-    for line in history.since(0, "standing"):
+    for line in history.entries_since(0, "standing"):
         if line["by"] not in names or line["t"] > until:
             continue
         if line["t"] < since:
@@ -73,35 +73,35 @@
     return within | set(at_start.values())
 
 
-def lost_calls(rig: Rig, before: datetime, but: Iterable[str] = ()) -> list[str]:
-    """Calls begun before an instant at members that ran all along, which gave no final answer or several, as
-    their callers saw it."""
-    unfair = set(but)
+def calls_without_one_final(rig: Rig, before: datetime, excluded: Iterable[str] = ()) -> list[str]:
+    """List calls begun before an instant, at members that ran throughout, for which the caller received no
+    final response or several different ones."""
+    skipped = set(excluded)
     return [
-        f"{name}: {call.name}: {call.finals}" for name, callers in rig.callers.items() if name not in unfair
+        f"{name}: {call.name}: {call.finals}" for name, callers in rig.callers.items() if name not in skipped
         for call in callers.calls.values() if call.began < before and len(set(call.finals)) != 1
     ]  # fmt: skip
 
 
-def spread_of(spans: Iterable[float]) -> dict[str, float]:
-    """Median and most, for a table."""
-    found = sorted(spans)
+def median_and_max(durations: Iterable[float]) -> dict[str, float]:
+    """Return the median and the maximum of the given times."""
+    found = sorted(durations)
     if not found:
         return {}
     return {"median": round(statistics.median(found), 2), "most": round(found[-1], 2)}
 
 
-def records_wrong(rig: Rig, before: datetime) -> list[str]:
-    """Calls that had their final answer before an instant and have not just one complete record, as their
-    callers count them; and records of calls that no caller placed."""
+def record_errors(rig: Rig, before: datetime) -> list[str]:
+    """List calls that were finally answered before an instant and do not have exactly one complete record,
+    and records of calls that no caller placed."""
     counts: dict[str, list[str]] = defaultdict(list)
-    for name in rig.up():
+    for name in rig.running_members():
         for record in rig.records(name):
             counts[str(record["reference"])].append(name)
     placed = {call.name: call for callers in rig.callers.values() for call in callers.calls.values()}
-    wrong = [f"{ref}: nobody placed it" for ref in counts if ref not in placed]
+    wrong = [f"{ref}: no caller placed it" for ref in counts if ref not in placed]
     for ref, call in placed.items():
-        over = call.final is not None and (call.final >= 300 or call.released)
-        if over and call.answered is not None and call.answered < before and len(counts[ref]) != 1:
+        ended = call.final is not None and (call.final >= 300 or call.released)
+        if ended and call.answered is not None and call.answered < before and len(counts[ref]) != 1:
             wrong.append(f"{ref}: {call.final}, records at {counts[ref]}")
     return wrong
--- a/standins/faults/history.py
+++ b/standins/faults/history.py
@@ -1,4 +1,4 @@
-"""What happened, in order: what the rig did, and what each member said that it saw. JSON lines."""
+"""Event history as JSON lines: the actions of the rig and the events that each member reported, in order."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 from pathlib import Path
 from typing import Any
 
-Line = dict[str, Any]
+Entry = dict[str, Any]
 
 
 class History:
-    """Lines with the time since the start in seconds, by one clock: the rig's."""
+    """Entries that are stamped with the seconds since the start, by the clock of the rig."""
 
     def __init__(self, path: Path) -> None:
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._file = path.open("w", encoding="utf-8")
-        self.lines: list[Line] = []
+        self.entries: list[Entry] = []
 
     @property
     def now_s(self) -> float:
-        """The time since the start."""
-        return time.monotonic() - self._began
+        """Seconds since the start."""
+        return time.monotonic() - self._started_at
 
-    def add(self, kind: str, **what: Any) -> None:
-        """One line more."""
-        line: Line = {"t": round(self.now_s, 4), "kind": kind, **what}
-        self.lines.append(line)
-        self._file.write(json.dumps(line) + "\n")
+    def add(self, kind: str, **fields: Any) -> None:
+        """Append an entry."""
+        entry: Entry = {"t": round(self.now_s, 4), "kind": kind, **fields}
+        self.entries.append(entry)
+        self._file.write(json.dumps(entry) + "\n")
 
     def close(self) -> None:
-        """No more comes."""
+        """Close the file."""
         self._file.close()
 
-    def since(self, at_s: float, kind: str = "") -> Iterator[Line]:
-        """The lines from an instant on."""
-        return (line for line in self.lines if line["t"] >= at_s and kind in ("", line["kind"]))
+    def entries_since(self, since_s: float, kind: str = "") -> Iterator[Entry]:
+        """Return the entries from an instant on."""
+        return (entry for entry in self.entries if entry["t"] >= since_s and kind in ("", entry["kind"]))
 
-    def states(self, at_s: float = 0.0, state: str = "") -> Iterator[Line]:
-        """What members came to think of others: lines with a state that was another one before."""
-        for line in self.since(at_s, "member"):
-            old, new = line["old"], line["new"]
+    def state_changes(self, since_s: float = 0.0, state: str = "") -> Iterator[Entry]:
+        """Return the entries in which a member changed the state or boot id of another in its view."""
+        for entry in self.entries_since(since_s, "member"):
+            old, new = entry["old"], entry["new"]
             changed = (old and (old["state"], old["life"])) != (new and (new["state"], new["life"]))
             if changed and (not state or new and new["state"] == state):
-                yield line
+                yield entry
--- a/standins/faults/rig.py
+++ b/standins/faults/rig.py
@@ -1,8 +1,8 @@
-"""A group of real processes with the net between them, callers and call servers round them, and the history.
+"""A group of real processes on a simulated network, with callers, call servers and the event history.
 
 with Rig(folder, members=8, seed=1) as rig:
     rig.start()
-    rig.until(rig.agreed, 10)
+    rig.until(rig.views_agree, 10)
     rig.net.cut(["n0"], ["n1", "n2"])
     rig.run(5)
     rig.net.heal()
@@ -30,11 +30,11 @@
 from standins.faults.streams import Streams
 from standins.nameserver import NameServer
 
-PROXY, SERVER = 100, 200  # the last numbers of addresses: proxies, call servers; members have their own
-READY_S = 20.0
-LONGEST_S = 900.0  # a rig ends by itself
+FIRST_PROXY, FIRST_SERVER = 100, 200  # last octet of the first proxy and call server; members begin at 1
+STARTUP_TIMEOUT_S = 20.0
+MAX_DURATION_S = 900.0  # a run that takes longer is aborted
 
-FILE = """
+SETTINGS = """
 [sip]
 listen = "{host}:5060"
 
@@ -65,7 +65,7 @@
 give_up_ms = 4000
 """
 
-NAMED = """
+SRV_SETTINGS = """
 [members.srv]
 names = ["_members._udp.calls.example."]
 name_servers = ["{at}"]
@@ -77,8 +77,11 @@
 
 
 class Rig:
-    """Bounded in members and time. All addresses are in a part of 127.0.0.0/8 that the process's id names, so
-    that several rigs run beside each other."""
+    """Runs members, the network and stand-ins, with bounded size and duration.
+
+    All addresses are in a part of 127.0.0.0/8 that is derived from the process id, so that several rigs can
+    run in parallel.
+    """
 
     def __init__(
         self,
@@ -91,8 +94,8 @@
         by_name: bool = False,
         hold_s: float = 2.0,
     ) -> None:
-        """``more`` goes into each file's ``[members]``, NAME being the member's; calls stand for ``hold_s``.
-        ``by_name``: they meet by an SRV name alone, which a stand-in for a name server tells (``names_at``).
+        """``more`` is added to ``[members]`` of each file, with NAME replaced; calls are held for ``hold_s``.
+        ``by_name``: the only seeds are an SRV name, which the stand-in ``name_server`` resolves.
         """
         assert 1 <= members <= 64
         pid = os.getpid()
@@ -103,37 +106,37 @@
         self.history = History(folder / "history.jsonl")
         self.names = [f"n{number}" for number in range(members)]
         own = {name: (self._host(number + 1), 7946) for number, name in enumerate(self.names)}
-        proxies = {name: (self._host(PROXY + number), 7946) for number, name in enumerate(self.names)}
+        proxies = {name: (self._host(FIRST_PROXY + number), 7946) for number, name in enumerate(self.names)}
         self._own = own
         self.net = Net(own, proxies, self.rng.getrandbits(32))
         self.streams = Streams(own, proxies, self.net.links)
-        self._tell = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._tell.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 22)
-        self._tell.bind((self._host(99), 0))
-        self._tell.setblocking(False)
-        self.servers = [CallServer((self._host(SERVER + n), 5070)) for n in range(servers)]
+        self._report_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._report_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 22)
+        self._report_socket.bind((self._host(99), 0))
+        self._report_socket.setblocking(False)
+        self.servers = [CallServer((self._host(FIRST_SERVER + n), 5070)) for n in range(servers)]
         self.views: dict[str, dict[str, dict[str, object]]] = {name: {} for name in self.names}
         self.digests: dict[str, str] = {}
-        self.standing: dict[str, str] = {}
-        self._lives: dict[str, int] = {}
-        self._last: dict[str, int] = {}
-        self.untold = 0
-        self._ends = time.monotonic() + LONGEST_S
-        self.names_at = NameServer((self._host(98), 0)) if by_name else None
-        if self.names_at is not None:
-            more += NAMED.format(at=format_address(self.names_at.address))
+        self.quorum_states: dict[str, str] = {}
+        self._boot_ids: dict[str, int] = {}
+        self._last_numbers: dict[str, int] = {}
+        self.lost_reports = 0
+        self._ends_at = time.monotonic() + MAX_DURATION_S
+        self.name_server = NameServer((self._host(98), 0)) if by_name else None
+        if self.name_server is not None:
+            more += SRV_SETTINGS.format(at=format_address(self.name_server.address))
             for name, proxy in proxies.items():
-                self.names_at.host(name, proxy[0], ttl=1)
-            self.names_at.srv(
+                self.name_server.host(name, proxy[0], ttl=1)
+            self.name_server.srv(
                 "_members._udp", *((0, 1, proxy[1], name) for name, proxy in proxies.items()), ttl=1
             )
-        ways = [] if by_name else [format_address(way) for way in proxies.values()]
+        seeds = [] if by_name else [format_address(seed_address) for seed_address in proxies.values()]
         self._keys = {
             name: {
                 "name": name, "host": own[name][0], "members": members, "group": f"rig-{pid}",
                 "more": more.replace("NAME", name),
                 "advertise": format_address(proxies[name]), "roster": _quoted(self.names),
-                "tell": format_address(self._told_at), "ways_in": _quoted(ways),
+                "tell": format_address(self._report_address), "ways_in": _quoted(seeds),
             }
             for name in self.names
         }  # fmt: skip
@@ -143,33 +146,33 @@
             for number, name in enumerate(self.names)
             if call_rate
         }
-        self._stands: list[CallServer | Callers | NameServer] = [*self.servers, *self.callers.values()]
-        if self.names_at is not None:
-            self._stands.append(self.names_at)
+        self._standins: list[CallServer | Callers | NameServer] = [*self.servers, *self.callers.values()]
+        if self.name_server is not None:
+            self._standins.append(self.name_server)
 
     def _host(self, number: int) -> str:
         return f"{self._net}.{number}"
 
     @property
-    def _told_at(self) -> Address:
-        host, port = self._tell.getsockname()
+    def _report_address(self) -> Address:
+        host, port = self._report_socket.getsockname()
         return host, port
 
     def __enter__(self) -> Rig:
-        """Itself."""
+        """Return the rig itself."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End all that it started."""
+        """End all processes and close all sockets."""
         for process in self.processes.values():
             process.close()
         self.net.close()
         self.streams.close()
-        self._tell.close()
-        if self.names_at is not None:
-            self.names_at.kill()
+        self._report_socket.close()
+        if self.name_server is not None:
+            self.name_server.kill()
         for server in self.servers:
             server.close()
         self.history.close()
@@ -179,76 +182,78 @@
     def start(
         self, names: Iterable[str] | None = None, skew_s: Callable[[str], float] = lambda _: 0.0
     ) -> None:
-        """Start these, or all."""
+        """Start the named members, or all."""
         for name in self.names if names is None else list(names):
-            self._do("start", name)
+            self._record_action("start", name)
             self.views[name] = {}
-            self.standing.pop(name, None)
+            self.quorum_states.pop(name, None)
             self.processes[name].start(skew_s(name))
 
     def kill(self, *names: str) -> None:
-        """SIGKILL to these."""
+        """Send SIGKILL to the named members."""
         for name in names:
-            self._do("kill", name)
+            self._record_action("kill", name)
             self.processes[name].kill()
-            self.standing.pop(name, None)
+            self.quorum_states.pop(name, None)
 
     def stop(self, name: str) -> None:
-        """SIGSTOP."""
-        self._do("stop", name)
+        """Send SIGSTOP to a member."""
+        self._record_action("stop", name)
         self.processes[name].stop()
 
-    def go_on(self, name: str) -> None:
-        """SIGCONT."""
-        self._do("cont", name)
-        self.processes[name].go_on()
+    def resume(self, name: str) -> None:
+        """Send SIGCONT to a member."""
+        self._record_action("cont", name)
+        self.processes[name].resume()
 
-    def cut(self, one: list[str], other: list[str], both: bool = True) -> None:
-        """Cut the net between these."""
-        self._do("cut", ",".join(one), other=other, both=both)
-        self.net.cut(one, other, both)
+    def cut(self, first: list[str], second: list[str], both: bool = True) -> None:
+        """Cut the network between two groups of members."""
+        self._record_action("cut", ",".join(first), other=second, both=both)
+        self.net.cut(first, second, both)
 
     def heal(self) -> None:
-        """Make the net whole."""
-        self._do("heal", "")
+        """Repair all links."""
+        self._record_action("heal", "")
         self.net.heal()
 
     def terminate(self, name: str) -> None:
-        """SIGTERM: it says that it goes, and ends when all is done."""
-        self._do("term", name)
+        """Send SIGTERM: the member announces that it leaves, and ends after its shutdown."""
+        self._record_action("term", name)
         self.processes[name].terminate()
 
     def _file(self, name: str, servers: Iterable[CallServer]) -> str:
-        named = _quoted(f"udp:{format_address(server.address)}" for server in servers)
-        return FILE.format(servers=named, **self._keys[name])
-
-    def leave_out(self, name: str, *servers: CallServer) -> None:
-        """The file of one member names all call servers but these from now on."""
-        self._do("leave out", name, servers=[format_address(server.address) for server in servers])
-        self.processes[name].settle(self._file(name, [one for one in self.servers if one not in servers]))
+        quoted = _quoted(f"udp:{format_address(server.address)}" for server in servers)
+        return SETTINGS.format(servers=quoted, **self._keys[name])
+
+    def remove_servers(self, name: str, *servers: CallServer) -> None:
+        """Reload the settings of one member without these call servers."""
+        self._record_action("leave out", name, servers=[format_address(server.address) for server in servers])
+        self.processes[name].apply_settings(
+            self._file(name, [one for one in self.servers if one not in servers])
+        )
 
-    def _do(self, what: str, who: str, **more: object) -> None:
-        self.history.add("rig", do=what, who=who, **more)
+    def _record_action(self, action: str, member: str, **more: object) -> None:
+        self.history.add("rig", do=action, who=member, **more)
 
     # --- time ---
 
     def run(self, span_s: float) -> None:
-        """Let time pass."""
+        """Run for a time span."""
         self.until(lambda: False, span_s)
 
-    def until(self, done: Callable[[], bool], longest_s: float) -> bool:
-        """Let time pass until something holds; whether it came to hold."""
-        end = time.monotonic() + longest_s
+    def until(self, done: Callable[[], bool], max_s: float) -> bool:
+        """Run until the condition holds, for ``max_s`` at most; whether it held."""
+        end = time.monotonic() + max_s
         while not done():
             now = time.monotonic()
-            assert now < self._ends, "the rig has run for too long"
+            assert now < self._ends_at, f"the rig has run for more than {MAX_DURATION_S} s"
             if now >= end:
                 return False
             due = self.net.due_at
             wait = min(end, now + 0.05, due if due is not None else now + 0.05) - now
-            descriptors = [*self.net.descriptors(), *self.streams.descriptors(), self._tell.fileno()]
-            for stand in self._stands:
-                descriptors += stand.descriptors()
+            descriptors = [*self.net.descriptors(), *self.streams.descriptors(), self._report_socket.fileno()]
+            for standin in self._standins:
+                descriptors += standin.descriptors()
             select.select(descriptors, [], [], max(0.0, wait))
             self._pump()
         return True
@@ -257,21 +262,21 @@
         now = datetime.now(UTC)
         self.net.pump(time.monotonic())
         self.streams.pump()
-        for stand in self._stands:
-            stand.pump(now)
+        for standin in self._standins:
+            standin.pump(now)
         while True:
             try:
-                data = self._tell.recv(65536)
+                data = self._report_socket.recv(65536)
             except BlockingIOError:
                 return
-            self._heard(json.loads(data))
-
-    def _heard(self, line: dict[str, object]) -> None:
-        by, life, number = str(line["by"]), int(str(line["life"])), int(str(line["n"]))
-        if self._lives.get(by) != life:
-            self._lives[by], self._last[by] = life, 0
-        self.untold += number - self._last[by] - 1
-        self._last[by] = number
+            self._on_report(json.loads(data))
+
+    def _on_report(self, line: dict[str, object]) -> None:
+        by, boot_id, number = str(line["by"]), int(str(line["life"])), int(str(line["n"]))
+        if self._boot_ids.get(by) != boot_id:
+            self._boot_ids[by], self._last_numbers[by] = boot_id, 0
+        self.lost_reports += number - self._last_numbers[by] - 1
+        self._last_numbers[by] = number
         self.history.add(str(line.pop("event")), **line)
         self.digests[by] = str(line["digest"])
         if "about" in line:
@@ -281,85 +286,92 @@
             else:
                 view.pop(about, None)
         else:
-            self.standing[by] = str(line["new"])
+            self.quorum_states[by] = str(line["new"])
 
     def call(self, seconds: float) -> None:
-        """Have calls come at every member for so long."""
+        """Have callers place calls at every member for this time."""
         for callers in self.callers.values():
             callers.start(datetime.now(UTC), timedelta(seconds=seconds))
 
-    # --- what holds ---
+    # --- observed state ---
+
+    def established_calls(self, name: str) -> tuple[int, int]:
+        """Count the established calls of a member as seen by callers and by call servers.
 
-    def standing_at(self, name: str) -> tuple[int, int]:
-        """How many calls of one member stand, as their callers see it, and as the call servers do: there one
-        stands once its 200 was acknowledged, before that they end it themselves (RFC 3261, 13.3.1.4)."""
+        A call server counts a call once its 200 was acknowledged; before that it ends the call itself (RFC
+        3261, 13.3.1.4).
+        """
         host = self._own[name][0]
         calls = self.callers[name].calls.values()
-        near = sum(call.final == 200 and not call.released for call in calls)
-        far = sum(call.endswith(f"@{host}") for server in self.servers for call in server.confirmed)
-        return near, far
+        at_callers = sum(call.final == 200 and not call.released for call in calls)
+        at_servers = sum(call.endswith(f"@{host}") for server in self.servers for call in server.confirmed)
+        return at_callers, at_servers
 
-    def up(self) -> list[str]:
-        """Whose process runs and is not stopped."""
+    def running_members(self) -> list[str]:
+        """Return the members whose process runs and is not stopped."""
         return [name for name, one in self.processes.items() if one.running and not one.stopped]
 
-    def shared(self, name: str) -> int:
-        """Among how many a member shares the call servers, as its door says."""
-        return int(str(self._asked(name, "/admin/members")["shared_among"]))
+    def sharing_count(self, name: str) -> int:
+        """Return among how many instances a member shares the call servers, by its admin server."""
+        return int(str(self._admin_get(name, "/admin/members")["shared_among"]))
 
     def records(self, name: str) -> list[dict[str, object]]:
-        """The complete records that are a member's."""
+        """Return the complete call records of a member."""
         found: list[dict[str, object]] = []
         after: object = 0
         while after is not None:
-            page = self._asked(name, f"/admin/records?after={after}")
+            page = self._admin_get(name, f"/admin/records?after={after}")
             records, after = page["records"], page["next"]
             assert isinstance(records, list)
             found += records
         return found
 
-    def _asked(self, name: str, path: str) -> dict[str, object]:
-        with socket.create_connection((self._own[name][0], 8060), timeout=5) as door:
-            door.sendall(b"GET %s HTTP/1.1\r\nHost: rig\r\n\r\n" % path.encode())
-            said = b""
-            while data := door.recv(65536):
-                said += data
-        found = json.loads(said.partition(b"\r\n\r\n")[2])
-        assert isinstance(found, dict)
-        return found
+    def _admin_get(self, name: str, path: str) -> dict[str, object]:
+        with socket.create_connection((self._own[name][0], 8060), timeout=5) as connection:
+            connection.sendall(b"GET %s HTTP/1.1\r\nHost: rig\r\n\r\n" % path.encode())
+            response = b""
+            while data := connection.recv(65536):
+                response += data
+        parsed = json.loads(response.partition(b"\r\n\r\n")[2])
+        assert isinstance(parsed, dict)
+        return parsed
 
     def state(self, by: str, about: str) -> str | None:
-        """What one last said that it thinks of another."""
-        known = self.views[by].get(about)
-        return None if known is None else str(known["state"])
+        """Return the state of a member in the last reported view of another."""
+        entry = self.views[by].get(about)
+        return None if entry is None else str(entry["state"])
 
-    def agreed(self) -> bool:
-        """Whether all that run say that just these are there, and know their standing."""
-        up = self.up()
+    def views_agree(self) -> bool:
+        """Whether the views of all running members list exactly these, and each knows its quorum state."""
+        running = self.running_members()
         return all(
-            self.standing.get(by) not in (None, "joining")
+            self.quorum_states.get(by) not in (None, "joining")
             and {about for about in self.views[by] if self.state(by, about) in ("alive", "suspect")}
-            == set(up) - {by}
-            and all(self.state(by, about) == "alive" for about in up if about != by)
-            for by in up
+            == set(running) - {by}
+            and all(self.state(by, about) == "alive" for about in running if about != by)
+            for by in running
         )
 
-    def started(self) -> None:
-        """Start all, and wait until they are one group in which each may decide."""
+    def start_and_wait(self) -> None:
+        """Start all, and wait until they form one group in which each member has a quorum."""
         self.start()
-        whole = self.until(lambda: self.agreed() and set(self.standing.values()) == {"majority"}, READY_S)
-        assert whole, f"no group within {READY_S} s: {self.standing}"
+        formed = self.until(
+            lambda: self.views_agree() and set(self.quorum_states.values()) == {"majority"}, STARTUP_TIMEOUT_S
+        )
+        assert formed, f"no group within {STARTUP_TIMEOUT_S} s: {self.quorum_states}"
 
-    def wrong(self) -> list[str]:
-        """What is broken whatever the faults were: read at the members' outside."""
+    def violations(self) -> list[str]:
+        """List violations of what must hold under any faults, observed from outside the members."""
         found = [
-            f"{name} ended by itself" for name, one in self.processes.items()
-            if one.starts and not one.running and self._last_deed(name) not in ("kill", "term")
+            f"{name} ended without a signal" for name, one in self.processes.items()
+            if one.starts and not one.running and self._last_action(name) not in ("kill", "term")
         ]  # fmt: skip
-        if self.net.longest > 256:
-            found.append(f"a datagram of {self.net.longest} bytes")
+        if self.net.max_length > 256:
+            found.append(f"a datagram of {self.net.max_length} bytes, the limit is 256")
         return found
 
-    def _last_deed(self, name: str) -> str:
-        deeds = [line["do"] for line in self.history.lines if line["kind"] == "rig" and line["who"] == name]
-        return deeds[-1] if deeds else ""
+    def _last_action(self, name: str) -> str:
+        actions = [
+            line["do"] for line in self.history.entries if line["kind"] == "rig" and line["who"] == name
+        ]
+        return actions[-1] if actions else ""
--- a/standins/faults/skewed.py
+++ b/standins/faults/skewed.py
@@ -1,4 +1,4 @@
-"""The program by a clock that is wrong: ``python -O -m standins.faults.skewed SECONDS --operator FILE``."""
+"""The program with a skewed wall clock: ``python -O -m standins.faults.skewed SECONDS --operator FILE``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run() -> int:
-    """As the program itself, but for the clock that is given to it."""
+    """Run the program with its wall clock off by the given seconds."""
     offset = float(sys.argv.pop(1))
     return main(Clock(unix=lambda: time.time() + offset))
 
--- a/standins/faults/streams.py
+++ b/standins/faults/streams.py
@@ -1,8 +1,8 @@
-"""TCP between members, through the addresses at which others reach them: bytes pass as the links allow.
+"""TCP proxies between members: bytes are forwarded as the state of the links allows.
 
-A member dials from its own address, so that the proxy sees who it is. A cut or stalled link passes nothing
-and closes nothing, as a net that has lost a cable: both ends have to find that out. What was on its way when
-a link was cut comes once it is whole, as TCP sends it again.
+A member connects from its own address, which identifies it to the proxy. A cut or stalled link forwards
+nothing and closes nothing, as an unplugged cable: both ends have to detect it. Bytes in transit when a link
+was cut are delivered after it is repaired, as TCP retransmits them.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from reedmount.net.connection import Address
 from standins.faults.net import Link
 
-CHUNK = 65536
-MAX_HELD = 1 << 20  # bytes that wait at one end: then no more is read from the other
+READ_SIZE = 65536
+MAX_HELD = 1 << 20  # bytes buffered for one end, after which no more is read from the other
 
 
 @dataclass(slots=True)
-class Half:
-    """One direction of a pair."""
+class Direction:
+    """One direction of a proxied connection."""
 
     source: socket.socket
     sink: socket.socket
     link: tuple[str, str]
-    waiting: bytearray = field(default_factory=bytearray)
+    pending: bytearray = field(default_factory=bytearray)
 
 
 class Streams:
-    """All connections between members that run now."""
+    """All current connections between members."""
 
     def __init__(
         self, own: dict[str, Address], proxies: dict[str, Address], links: dict[tuple[str, str], Link]
@@ -38,67 +38,69 @@
         self._listeners = {name: socket.create_server(address) for name, address in proxies.items()}
         for listener in self._listeners.values():
             listener.setblocking(False)
-        self._pairs: list[tuple[Half, Half]] = []
+        self._connections: list[tuple[Direction, Direction]] = []
         self.bytes = 0
 
     def descriptors(self) -> list[int]:
-        """What to wait for."""
+        """Return the file descriptors to poll for reading."""
         reading = [
-            half.source.fileno() for pair in self._pairs for half in pair
-            if self._passes(half) and len(half.waiting) < MAX_HELD
+            direction.source.fileno() for connection in self._connections for direction in connection
+            if self._is_open(direction) and len(direction.pending) < MAX_HELD
         ]  # fmt: skip
         return [listener.fileno() for listener in self._listeners.values()] + reading
 
     def pump(self) -> None:
-        """Pass on what may pass."""
+        """Accept connections and forward bytes on open links."""
         for to, listener in self._listeners.items():
             self._accept(to, listener)
-        for pair in list(self._pairs):
-            if not all([self._pass_on(half) for half in pair]):
-                self._pairs.remove(pair)
-                for half in pair:
-                    half.source.close()
+        for connection in list(self._connections):
+            if not all([self._forward(direction) for direction in connection]):
+                self._connections.remove(connection)
+                for direction in connection:
+                    direction.source.close()
 
     def close(self) -> None:
-        """Be gone."""
+        """Close all sockets."""
         for listener in self._listeners.values():
             listener.close()
-        for pair in self._pairs:
-            for half in pair:
-                half.source.close()
+        for connection in self._connections:
+            for direction in connection:
+                direction.source.close()
 
-    def _passes(self, half: Half) -> bool:
-        link = self._links[half.link]
+    def _is_open(self, direction: Direction) -> bool:
+        link = self._links[direction.link]
         return not link.cut and not link.stalled
 
     def _accept(self, to: str, listener: socket.socket) -> None:
         while True:
             try:
-                near, source = listener.accept()
+                inbound, source = listener.accept()
             except OSError:
                 return
             sender = self._hosts.get(source[0])
-            far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            outbound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             try:
                 if sender is None or sender == to:
-                    raise OSError("a stranger")
-                far.connect(self._own[to])  # on loopback: at once, or refused
+                    raise OSError("unknown sender")
+                outbound.connect(self._own[to])  # connects or fails at once on loopback
             except OSError:
-                near.close()
-                far.close()
+                inbound.close()
+                outbound.close()
                 continue
-            for sock in (near, far):
+            for sock in (inbound, outbound):
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._pairs.append((Half(near, far, (sender, to)), Half(far, near, (to, sender))))
+            self._connections.append(
+                (Direction(inbound, outbound, (sender, to)), Direction(outbound, inbound, (to, sender)))
+            )
 
-    def _pass_on(self, half: Half) -> bool:
-        """Whether both ends are there still."""
-        if not self._passes(half):
+    def _forward(self, direction: Direction) -> bool:
+        """Forward what is pending; whether both ends are still connected."""
+        if not self._is_open(direction):
             return True
-        if len(half.waiting) < MAX_HELD:
+        if len(direction.pending) < MAX_HELD:
             try:
-                data = half.source.recv(CHUNK)
+                data = direction.source.recv(READ_SIZE)
             except BlockingIOError:
                 pass
             except OSError:
@@ -106,11 +108,11 @@
             else:
                 if not data:
                     return False
-                half.waiting += data
+                direction.pending += data
                 self.bytes += len(data)
-        if half.waiting:
+        if direction.pending:
             try:
-                del half.waiting[: half.sink.send(half.waiting)]
+                del direction.pending[: direction.sink.send(direction.pending)]
             except BlockingIOError:
                 pass
             except OSError:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,6 +1,6 @@
-"""Several processes of the program with faults between them: the hard cases of membership, played by the rig.
+"""Fault cases with several real processes of the program, run by the rig of ``standins.faults``.
 
-All begin at once, each rig in processes and addresses of its own, so that they take as long as the longest.
+All cases run in parallel, each with its own processes and addresses, and take as long as the longest one.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, subprocess.Popen[str]]]:
+def cases(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[str, subprocess.Popen[str]]]:
     folder = tmp_path_factory.mktemp("faults")
-    with playing("standins.faults", CASES, folder, "--seed", "1") as running:
-        yield running
+    with playing("standins.faults", CASES, folder, "--seed", "1") as processes:
+        yield processes
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_hard_case_holds_with_real_processes(played: dict[str, subprocess.Popen[str]], name: str) -> None:
-    said, _ = played[name].communicate(timeout=LONGEST_S)
-    assert played[name].returncode == 0, said
-    figures = json.loads(said.splitlines()[-1])
+def test_fault_case_passes_with_real_processes(cases: dict[str, subprocess.Popen[str]], name: str) -> None:
+    output, _ = cases[name].communicate(timeout=LONGEST_S)
+    assert cases[name].returncode == 0, output
+    figures = json.loads(output.splitlines()[-1])
     assert figures["case"] == name and figures["untold"] == 0 and figures["datagrams"] > 100
