--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are too long for CI, or that tell of this machine: their results stand in docs/."""
+"""Measurements that take too long for CI or depend on the machine; the results are in docs/."""
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,7 +1,7 @@
-"""What a SIP call costs the program: CPU of its loop alone, the stand-ins left out.
+"""CPU cost of a SIP call: the event loop of the program alone, without the stand-ins.
 
-python -m benchmarks.calls cost [--calls 2000]      over UDP and over TCP, with a profile
-python -m benchmarks.calls against REV              this tree and a commit in turn, as a ratio
+python -m benchmarks.calls cost [--calls 2000]      over UDP and TCP, optionally with a profile
+python -m benchmarks.calls against REV              ratio of this tree to a commit, run alternately
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 S = timedelta(seconds=1)
-RATE = 200.0  # calls a second of virtual time
+RATE = 200.0  # calls per second of virtual time
 
 
-class Costed(Site):
-    """A site whose loop's CPU is counted."""
+class MeasuredSite(Site):
+    """A site that measures the CPU time of the program's loop."""
 
-    cpu = 0.0
+    cpu_s = 0.0
     profile: cProfile.Profile | None = None
 
     def turn(self) -> bool:
-        """One turn of everything; the loop's part of it is counted."""
+        """Run one turn of loop and stand-ins; only the loop is measured."""
         if self.profile is not None:
             self.profile.enable()
         began = time.process_time()
         busy = self.loop.turn(ZERO)
-        self.cpu += time.process_time() - began
+        self.cpu_s += time.process_time() - began
         if self.profile is not None:
             self.profile.disable()
-        for stand in self.stands:
-            busy = stand.pump(self.now) or busy
+        for stand_in in self.stands:
+            busy = stand_in.pump(self.now) or busy
         return busy
 
 
-def play(transport: str, calls: int, profile: bool = False) -> Costed:
-    """So many calls of a second each, through three servers."""
+def measure(transport: str, calls: int, profile: bool = False) -> MeasuredSite:
+    """Measure ``calls`` calls of one second each, through three servers."""
     with tempfile.TemporaryDirectory() as folder:
-        site = Costed(Path(folder), servers=0, board=False, ttl=300, start=False)
+        site = MeasuredSite(Path(folder), servers=0, board=False, ttl=300, start=False)
         text = site.file.read_text().replace("_sip._udp", f"_sip._{transport}")
         site.file.write_text(text)
         name: NameServer = site.names[0]
@@ -69,29 +69,29 @@
         site.start()
         site.run(S)
         site.profile = cProfile.Profile() if profile else None
-        site.cpu = 0.0
+        site.cpu_s = 0.0
         callers = site.callers(RATE)
         callers.start(site.now, timedelta(seconds=calls / RATE))
         site.run(timedelta(seconds=calls / RATE + 3))
         if callers.faults():
-            raise click.ClickException(f"calls without their one answer: {callers.faults()[:3]}")
-        site.cpu /= callers.counts["calls"]
+            raise click.ClickException(f"calls without exactly one final response: {callers.faults()[:3]}")
+        site.cpu_s /= callers.counts["calls"]
         return site
 
 
 @click.group()
 def main() -> None:
-    """Measure what a SIP call costs."""
+    """Measure the cost of a SIP call."""
 
 
 @main.command()
 @click.option("--calls", default=2000, show_default=True)
-@click.option("--profile/--no-profile", default=False, help="where it goes")
+@click.option("--profile/--no-profile", default=False, help="print a profile")
 def cost(calls: int, profile: bool) -> None:
-    """CPU a call, set up, answered, acknowledged and released."""
+    """Print the CPU time of a call: set up, answered, acknowledged and released."""
     for transport in ("udp", "tcp"):
-        site = play(transport, calls, profile)
-        print(f"{transport} {site.cpu * 1e6:.0f} us", flush=True)
+        site = measure(transport, calls, profile)
+        print(f"{transport} {site.cpu_s * 1e6:.0f} us", flush=True)
         if site.profile is not None:
             pstats.Stats(site.profile).sort_stats("tottime").print_stats(18)
 
@@ -101,26 +101,26 @@
 @click.option("--runs", default=5, show_default=True)
 @click.option("--calls", default=1000, show_default=True)
 def against(rev: str, runs: int, calls: int) -> None:
-    """The same calls on this tree and on a commit that has this benchmark, in turn."""
-    took: dict[tuple[str, str], list[float]] = {}
+    """Compare this tree with a commit that has this benchmark, alternately with the same calls."""
+    results: dict[tuple[str, str], list[float]] = {}
     with tempfile.TemporaryDirectory() as folder:
         subprocess.run(["git", "worktree", "add", "-q", "--detach", folder, rev], cwd=ROOT, check=True)
         try:
             for _ in range(runs):
                 for where in (str(ROOT), folder):
-                    words = [sys.executable, "-O", "-m", "benchmarks.calls", "cost", "--calls", str(calls)]
+                    command = [sys.executable, "-O", "-m", "benchmarks.calls", "cost", "--calls", str(calls)]
                     done = subprocess.run(
-                        words, cwd=where, env={**os.environ, "PYTHONPATH": where}, check=True,
+                        command, cwd=where, env={**os.environ, "PYTHONPATH": where}, check=True,
                         capture_output=True, text=True,
                     )  # fmt: skip
                     for line in done.stdout.splitlines():
                         transport, figure, _ = line.split()
-                        took.setdefault((transport, where), []).append(float(figure))
+                        results.setdefault((transport, where), []).append(float(figure))
         finally:
             subprocess.run(["git", "worktree", "remove", "--force", folder], cwd=ROOT, check=True)
         for transport in ("udp", "tcp"):
-            this = statistics.median(took[transport, str(ROOT)])
-            other = statistics.median(took[transport, folder])
+            this = statistics.median(results[transport, str(ROOT)])
+            other = statistics.median(results[transport, folder])
             print(f"{transport}: {this / other:.3f} of {rev} ({this:.0f} us against {other:.0f})")
 
 
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,11 +1,11 @@
-"""Copies: what a step costs, and how long a member with an empty disk takes to have its copy again.
+"""Replication: the cost of a step, and the time until a member with an empty disk has a complete copy.
 
     python -m benchmarks.copies step
     python -m benchmarks.copies catchup --records 10000
     python -m benchmarks.copies calls
 
-The first two have real sockets and files, and all members on the loop of one process: a processor is shared
-by all of them, so that times are those of a machine that has the work of the others as well.
+The first two use real sockets and files, with all members on the loop of one process. The members share a
+processor, so each time includes the work of the others.
 """
 
 from __future__ import annotations
@@ -35,34 +35,34 @@
 from standins.faults.rig import Rig
 
 NAMES = ("n1", "n2", "n3")
-RECORD = 600  # bytes: a standing call with its two dialogs
-LONGEST_S = 600.0
+RECORD = 600  # bytes: an established call with its two dialogs
+MAX_DURATION_S = 600.0
 
 
 class Trio:
-    """Three members."""
+    """Three members on one loop."""
 
     def __init__(self, folder: Path, disk: bool) -> None:
         self.loop, self._folder, self._disk = Loop(Clock()), folder, disk
-        net = f"127.{1 + (os.getpid() >> 8) % 250}.{os.getpid() & 255}"  # several may be measured at once
-        self._places = {name: (f"{net}.{number}", 7946) for number, name in enumerate(NAMES, 1)}
+        net = f"127.{1 + (os.getpid() >> 8) % 250}.{os.getpid() & 255}"  # allows parallel measurements
+        self._addresses = {name: (f"{net}.{number}", 7946) for number, name in enumerate(NAMES, 1)}
         self.hosts: dict[str, Replication] = {}
-        self._peers: dict[str, Membership] = {}
+        self._memberships: dict[str, Membership] = {}
         self._disks: dict[str, RealDisk] = {}
-        self.longest_s = 0.0  # of a turn of the loop
+        self.longest_s = 0.0  # longest turn of the loop
         for name in NAMES:
             self.start(name, f"{name}-0")
         self.until(lambda: all(len(host.mesh.ways) == 2 for host in self.hosts.values()))
 
     def start(self, name: str, folder: str) -> None:
-        """A member with this folder."""
-        place = self._places[name]
-        roster = (VoterSet(1, frozenset(NAMES)),)
-        ways = tuple(self._places.values())
-        settings = MembershipSettings(name, "bench", place, place, ways, roster, timing=Timing())
-        membership = self._peers[name] = Membership(self.loop, settings)
+        """Start a member with this folder."""
+        address = self._addresses[name]
+        voter_sets = (VoterSet(1, frozenset(NAMES)),)
+        seeds = tuple(self._addresses.values())
+        settings = MembershipSettings(name, "bench", address, address, seeds, voter_sets, timing=Timing())
+        membership = self._memberships[name] = Membership(self.loop, settings)
         if not self._disk:
-            self.hosts[name] = Replication(self.loop, membership, name, "bench", place, 1)
+            self.hosts[name] = Replication(self.loop, membership, name, "bench", address, 1)
             return
         disk = self._disks[name] = RealDisk(self._folder / folder)
         log = Log(disk)
@@ -71,27 +71,27 @@
         def writer(durable: Callable[[int], None], trouble: Callable[[bool], None]) -> Writer:
             return Writer(self.loop, log, disk, True, durable, trouble)
 
-        self.hosts[name] = Replication(self.loop, membership, name, "bench", place, 1, log, writer)
+        self.hosts[name] = Replication(self.loop, membership, name, "bench", address, 1, log, writer)
 
     def kill(self, name: str) -> None:
-        """It is gone."""
+        """Close a member."""
         self.hosts.pop(name).close()
-        self._peers.pop(name).close()
+        self._memberships.pop(name).close()
         if name in self._disks:
             self._disks.pop(name).close()
 
     def until(self, done: Callable[[], bool]) -> float:
-        """Turn the loop until something holds; how long that took, in seconds."""
-        begun = time.perf_counter()
+        """Run the loop until the condition holds; returns the seconds it took."""
+        began_s = time.perf_counter()
         while not done():
-            assert time.perf_counter() - begun < LONGEST_S
+            assert time.perf_counter() - began_s < MAX_DURATION_S
             at = time.perf_counter()
             self.loop.turn(timedelta(milliseconds=1))
             self.longest_s = max(self.longest_s, time.perf_counter() - at)
-        return time.perf_counter() - begun
+        return time.perf_counter() - began_s
 
     def close(self) -> None:
-        """End it."""
+        """Close all members and the loop."""
         for name in list(self.hosts):
             self.kill(name)
         self.loop.close()
@@ -99,48 +99,48 @@
 
 @click.group()
 def main() -> None:
-    """Measure copies."""
+    """Measure replication."""
 
 
 @main.command()
 @click.option("--count", default=2000, show_default=True)
 def step(count: int) -> None:
-    """One step after the other, then many at once: until it is promised, and processor time of all three."""
+    """Time until a step is durable, singly and 100 at once, and the processor time of all three members."""
     click.echo("| disk | alone: median, ms | p99, ms | processor, us | 100 at once: a step, us |")
     click.echo("| --- | --- | --- | --- | --- |")
     for disk in (False, True):
         with tempfile.TemporaryDirectory() as folder:
             trio = Trio(Path(folder), disk)
-            host, spans = trio.hosts["n1"], []
+            host, durations = trio.hosts["n1"], []
             host.hold("first", Phase.STANDS, b"")
             trio.until(lambda: host.replicas.durable == 1)  # noqa: B023
             data = bytes(RECORD)
             used = time.process_time()
             for number in range(count):
-                heard: list[bool] = []
-                begun = time.perf_counter()
-                host.hold(f"call-{number}", Phase.STANDS, data, heard.append)
-                trio.until(lambda: bool(heard))  # noqa: B023
-                spans.append(time.perf_counter() - begun)
-                assert heard == [True]
+                results: list[bool] = []
+                began_s = time.perf_counter()
+                host.hold(f"call-{number}", Phase.STANDS, data, results.append)
+                trio.until(lambda: bool(results))  # noqa: B023
+                durations.append(time.perf_counter() - began_s)
+                assert results == [True]
             used = (time.process_time() - used) / count * 1e6
             batches = time.process_time()
             for batch in range(count // 100):
-                all_heard: list[bool] = []
+                batch_results: list[bool] = []
                 for number in range(100):
-                    host.hold(f"more-{batch}-{number}", Phase.STANDS, data, all_heard.append)
-                trio.until(lambda: len(all_heard) == 100)  # noqa: B023
+                    host.hold(f"more-{batch}-{number}", Phase.STANDS, data, batch_results.append)
+                trio.until(lambda: len(batch_results) == 100)  # noqa: B023
             batches = (time.process_time() - batches) / (count // 100 * 100) * 1e6
             trio.close()
-        spans.sort()
+        durations.sort()
         click.echo(
-            f"| {'yes' if disk else 'no'} | {statistics.median(spans) * 1000:.2f} | "
-            f"{spans[int(0.99 * len(spans))] * 1000:.2f} | {used:.0f} | {batches:.0f} |"
+            f"| {'yes' if disk else 'no'} | {statistics.median(durations) * 1000:.2f} | "
+            f"{durations[int(0.99 * len(durations))] * 1000:.2f} | {used:.0f} | {batches:.0f} |"
         )
 
 
 def _processor_s(rig: Rig) -> float:
-    """What all members have used, the writers' threads included."""
+    """Return the processor time of all members, including writer threads."""
     ticks = 0
     for process in rig.processes.values():
         fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
@@ -149,7 +149,7 @@
 
 
 def _calls(folder: Path, more: str, rate: float, seconds: float) -> tuple[float, list[float]]:
-    """Processor time a call beyond what an idle group uses, and how long answers took, in seconds."""
+    """Return processor time per call beyond that of an idle group, and the answer times, in seconds."""
     with Rig(folder, 5, 1, servers=8, call_rate=rate, more=more, hold_s=1.0) as rig:
         rig.start_and_wait()
         rig.run(3)
@@ -167,11 +167,11 @@
 
 
 @main.command()
-@click.option("--rate", default=20.0, show_default=True, help="calls a second at each of five members")
+@click.option("--rate", default=20.0, show_default=True, help="calls per second at each of five members")
 @click.option("--seconds", default=10.0, show_default=True)
 @click.option("--pairs", default=3, show_default=True)
 def calls(rate: float, seconds: float, pairs: int) -> None:
-    """Five processes of the program with copies off and on, in turn: processor time a call, answers."""
+    """Processor time per call and answer times of five processes, alternately without and with copies."""
     click.echo("| pair | off: us a call | on | ratio | answer off: median, p99, ms | on |")
     click.echo("| --- | --- | --- | --- | --- | --- |")
     for pair in range(1, pairs + 1):
@@ -179,10 +179,10 @@
         for more in ("", REPLICA_SETTINGS):
             with tempfile.TemporaryDirectory() as folder:
                 found.append(_calls(Path(folder), more, rate, seconds))
-        (off, off_spans), (on, on_spans) = found
+        (off, off_durations), (on, on_durations) = found
         shown = [
-            f"{statistics.median(spans) * 1000:.1f}, {spans[int(0.99 * len(spans))] * 1000:.1f}"
-            for spans in (off_spans, on_spans)
+            f"{statistics.median(durations) * 1000:.1f}, {durations[int(0.99 * len(durations))] * 1000:.1f}"
+            for durations in (off_durations, on_durations)
         ]
         click.echo(
             f"| {pair} | {off * 1e6:.0f} | {on * 1e6:.0f} | {on / off:.2f} | {shown[0]} | {shown[1]} |"
@@ -192,7 +192,7 @@
 @main.command()
 @click.option("--records", default=10_000, show_default=True)
 def catchup(records: int) -> None:
-    """A holder comes back with an empty disk: until its copy is complete and on its disk."""
+    """Time until the copy of a holder that restarts with an empty disk is complete and on disk."""
     with tempfile.TemporaryDirectory() as folder:
         trio = Trio(Path(folder), True)
         host, data = trio.hosts["n1"], bytes(RECORD)
@@ -208,12 +208,12 @@
         trio.start(holder, f"{holder}-1")
         trio.longest_s = 0.0
 
-        def whole() -> bool:
+        def copy_complete() -> bool:
             copy = trio.hosts[holder].replicas.copies.get(shard)
             return copy is not None and copy.complete and copy.kept == records
 
-        took = trio.until(whole)
-        click.echo(f"{records:,} records: {took:.2f} s, longest turn {trio.longest_s * 1000:.0f} ms")
+        duration_s = trio.until(copy_complete)
+        click.echo(f"{records:,} records: {duration_s:.2f} s, longest turn {trio.longest_s * 1000:.0f} ms")
         trio.close()
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,4 +1,4 @@
-"""What membership costs and how fast it is: the tables of docs/MEASURED-MEMBERSHIP.md.
+"""Cost and speed of membership: the tables of docs/MEASURED-MEMBERSHIP.md.
 
     python -m benchmarks.members detection --members 256 --seconds 120 --kills 12
     python -m benchmarks.members load
@@ -7,8 +7,8 @@
     python -m benchmarks.members real --seconds 120 --kills 10
     python -m benchmarks.members chart docs/membership-detection.png FILE...
 
-All but ``real`` are in virtual time with the state machines that serve, so a run is the same again. ``real``
-starts processes and takes as long as it says. Each prints a table; ``--json FILE`` is for a chart.
+All but ``real`` run the state machines of the program in virtual time and are reproducible. ``real`` starts
+processes and runs in real time. Each prints a table; ``--json FILE`` writes the input of ``chart``.
 """
 
 from __future__ import annotations
@@ -27,23 +27,24 @@
 from standins.faults.rig import Rig
 from standins.fleet.fleet import Fleet
 from standins.fleet.settings import Callers, days
-from standins.gossip.net import Group, Way
+from standins.gossip.net import Group, Link
 
 LOSSES = (0.0, 0.1, 0.3)
-DELAY_S = (0.0042, 0.024)  # one way, as between zones of the platform
-SPANS = ((5, 15), (16, 18), (18, 20), (20, 23), (23, 26), (26, 32))  # seconds of a day with a restart at 15
-QUIET_S = 20.0  # of members that know each other: each has told of itself
-SETTLED_S = 40.0  # after a start of all at once, all that gossip has to say is said
+DELAY_S = (0.0042, 0.024)  # one-way delay between zones of the platform
+# In seconds of a day with a restart at 15 s.
+SPANS = ((5, 15), (16, 18), (18, 20), (20, 23), (23, 26), (26, 32))
+IDLE_S = 20.0  # until members that know each other have disseminated themselves
+SETTLED_S = 40.0  # until dissemination ends after a simultaneous start
 
 
 def quantile(values: list[float], share: float) -> float:
-    """The value that so large a share is not above."""
+    """Return the value that the given share of values does not exceed."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else float("nan")
 
 
 def _group(members: int, seed: int, loss: float) -> Group:
-    group = Group(members, seed, way=Way(loss=loss, delay_s=DELAY_S))
+    group = Group(members, seed, link=Link(loss=loss, delay_s=DELAY_S))
     group.start()
     group.run(SETTLED_S)
     group.history.clear()
@@ -51,7 +52,7 @@
 
 
 def _suspicions(group: Group) -> tuple[int, int]:
-    """Suspicions of members that run, each counted once wherever it spreads, and those called dead."""
+    """Count suspicions, each once for the whole group, and members declared dead."""
     first = [seen for seen in group.history if seen.state is State.SUSPECT]
     spread: dict[str, float] = {}
     count = 0
@@ -63,7 +64,7 @@
 
 
 def detect(members: int, seed: int, loss: float, seconds: float, kills: int) -> dict[str, object]:
-    """False alarms in a quiet span, then kills one after the other: until the first, and until all know."""
+    """Count false alarms while idle, then time successive kills until the first and until all know."""
     group = _group(members, seed, loss)
     group.run(seconds)
     false, wrongly_dead = _suspicions(group)
@@ -91,7 +92,7 @@
     }  # fmt: skip
 
 
-def _line(name: str, result: dict[str, object]) -> str:
+def _table_row(name: str, result: dict[str, object]) -> str:
     first, every = result["first"], result["all"]
     assert isinstance(first, list) and isinstance(every, list)
     hours = float(str(result["hours"]))
@@ -102,7 +103,7 @@
     )
 
 
-HEAD = (
+TABLE_HEAD = (
     "| members | loss | first knows, s: median | p99 | all know, s: median | p99 | "
     "false suspicions a member-hour | wrongly dead |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
 )
@@ -115,47 +116,49 @@
 
 @main.command()
 @click.option("--members", default=8, show_default=True)
-@click.option("--seconds", default=900.0, show_default=True, help="quiet, for false alarms")
-@click.option("--kills", default=4, show_default=True, help="one after the other, in each run")
+@click.option(
+    "--seconds", default=900.0, show_default=True, help="idle time in which false alarms are counted"
+)
+@click.option("--kills", default=4, show_default=True, help="successive kills in each run")
 @click.option("--seeds", default=8, show_default=True)
-@click.option("--json", "kept", type=click.Path(path_type=Path), default=None)
-def detection(members: int, seconds: float, kills: int, seeds: int, kept: Path | None) -> None:
-    """How soon a death is known, and what is suspected without cause, in virtual time."""
+@click.option("--json", "json_file", type=click.Path(path_type=Path), default=None)
+def detection(members: int, seconds: float, kills: int, seeds: int, json_file: Path | None) -> None:
+    """Detection times and false suspicions, in virtual time."""
     results = []
     with ProcessPoolExecutor(max_workers=3) as pool:
         runs = {
             loss: [pool.submit(detect, members, seed, loss, seconds, kills) for seed in range(1, seeds + 1)]
             for loss in LOSSES
         }
-        click.echo(HEAD)
+        click.echo(TABLE_HEAD)
         for loss, found in runs.items():
             parts = [run.result() for run in found]
-            whole: dict[str, object] = {
+            merged: dict[str, object] = {
                 "members": members, "loss": loss, "hours": sum(float(str(part["hours"])) for part in parts),
                 "false": sum(int(str(part["false"])) for part in parts),
                 "wrongly dead": sum(int(str(part["wrongly dead"])) for part in parts),
             }  # fmt: skip
             for key in ("first", "all"):
-                whole[key] = [span for part in parts for span in part[key]]  # type: ignore[attr-defined]
-            results.append(whole)
-            click.echo(_line(f"{members}, virtual time", whole))
-    if kept is not None:
-        kept.write_text(json.dumps(results))
+                merged[key] = [span for part in parts for span in part[key]]  # type: ignore[attr-defined]
+            results.append(merged)
+            click.echo(_table_row(f"{members}, virtual time", merged))
+    if json_file is not None:
+        json_file.write_text(json.dumps(results))
 
 
 @main.command()
 @click.option("--sizes", default="8,64,256,1000", show_default=True)
 @click.option("--seconds", default=20.0, show_default=True)
 def load(sizes: str, seconds: float) -> None:
-    """Bytes and datagrams a second of one member, in a quiet group and after a death."""
+    """Bytes and datagrams per second of a member, in an idle group and after a death."""
     click.echo("| members | bytes/s | datagrams/s | bytes/s for 20 s after a death | longest datagram |")
     click.echo("| --- | --- | --- | --- | --- |")
     for count in (int(text) for text in sizes.split(",")):
-        group = Group(count, 1, way=Way(delay_s=DELAY_S))
+        group = Group(count, 1, link=Link(delay_s=DELAY_S))
         group.start()
-        group.acquaint()
-        group.run(QUIET_S)
-        assert group.agreed() and not group.busy(), "not a quiet group"
+        group.introduce_all()
+        group.run(IDLE_S)
+        assert group.agreed() and not group.pending_updates(), "the group is not idle"
         before = sum(group.bytes.values()), sum(group.datagrams.values())
         group.run(seconds)
         bytes_s = (sum(group.bytes.values()) - before[0]) / count / seconds
@@ -164,18 +167,18 @@
         group.kill("n0")
         group.run(20)
         death = (sum(group.bytes.values()) - at) / count / 20
-        click.echo(f"| {count} | {bytes_s:.0f} | {datagrams_s:.1f} | {death:.0f} | {group.longest} |")
+        click.echo(f"| {count} | {bytes_s:.0f} | {datagrams_s:.1f} | {death:.0f} | {group.max_length} |")
 
 
 @main.command()
 @click.option("--sizes", default="8,64,256", show_default=True)
 @click.option("--seeds", default=5, show_default=True)
 def heal(sizes: str, seeds: int) -> None:
-    """A cut of three from five eighths for 20 s: until the few know, and until all agree after it."""
+    """Partition three eighths for 20 s: time until these lose their quorum, and until all views agree."""
     click.echo("| members | few not sure any more, s: median | most | one view after, s: median | most |")
     click.echo("| --- | --- | --- | --- | --- |")
     for count in (int(text) for text in sizes.split(",")):
-        knew, agreed = [], []
+        detected, agreed = [], []
         for seed in range(1, seeds + 1):
             group = _group(count, seed, 0.0)
             few = [f"n{number}" for number in range(count * 3 // 8)]
@@ -183,23 +186,23 @@
             group.cut(few, [name for name in group.nodes if name not in few])
             while {item.has_quorum for item in group.standings(few)} != {False} and group.now_s < at + 20:
                 group.run(0.1)
-            knew.append(group.now_s - at)
-            group.run(20 - knew[-1])
+            detected.append(group.now_s - at)
+            group.run(20 - detected[-1])
             at = group.now_s
             group.heal()
             while not group.agreed() and group.now_s < at + 120:
                 group.run(0.1)
             agreed.append(group.now_s - at)
         click.echo(
-            f"| {count} | {statistics.median(knew):.1f} | {max(knew):.1f} | "
+            f"| {count} | {statistics.median(detected):.1f} | {max(detected):.1f} | "
             f"{statistics.median(agreed):.1f} | {max(agreed):.1f} |"
         )
 
 
 def _rejoin(load: float, exchange: bool, seed: int) -> list[tuple[float, float]]:
     day = replace(
-        days()["calm"], instances=8, servers=4, length_s=32.0, callers=Callers(load=load, uneven=0.3),
-        troubles=(("restart", 15.0, 0.5),), exchange=exchange,
+        days()["calm"], instances=8, servers=4, length_s=32.0, callers=Callers(load=load, variation=0.3),
+        faults=(("restart", 15.0, 0.5),), exchange=exchange,
     )  # fmt: skip
     fleet = Fleet(day, seed)
     fleet.run()
@@ -210,10 +213,10 @@
 
 
 @main.command()
-@click.option("--load", default=0.9, show_default=True, help="of what the call servers can do")
+@click.option("--load", default=0.9, show_default=True, help="share of the capacity of the call servers")
 @click.option("--seeds", default=16, show_default=True)
 def rejoin(load: float, seeds: int) -> None:
-    """Half of eight restart at 15 s: their service and the others', with and without what these know."""
+    """Four of eight instances restart at 15 s: service of both halves, with and without an exchange."""
     click.echo("| | " + " | ".join(f"{begin} to {end} s" for begin, end in SPANS) + " |")
     click.echo("| --- |" + " --- |" * len(SPANS))
     with ProcessPoolExecutor(max_workers=4) as pool:
@@ -261,24 +264,24 @@
 @main.command()
 @click.option("--seconds", default=120.0, show_default=True)
 @click.option("--kills", default=10, show_default=True)
-@click.option("--json", "kept", type=click.Path(path_type=Path), default=None)
-def real(seconds: float, kills: int, kept: Path | None) -> None:
-    """The same with eight processes of the program and the rig's net between them."""
+@click.option("--json", "json_file", type=click.Path(path_type=Path), default=None)
+def real(seconds: float, kills: int, json_file: Path | None) -> None:
+    """Measure detection with eight real processes on the simulated network of the fault rig."""
     with tempfile.TemporaryDirectory() as folder, ProcessPoolExecutor(max_workers=3) as pool:
         runs = [pool.submit(_real, loss, seconds, kills, f"{folder}/{loss}") for loss in LOSSES]
-        click.echo(HEAD)
+        click.echo(TABLE_HEAD)
         results = [run.result() for run in runs]
     for result in results:
-        click.echo(_line("8 processes", result))
-    if kept is not None:
-        kept.write_text(json.dumps(results))
+        click.echo(_table_row("8 processes", result))
+    if json_file is not None:
+        json_file.write_text(json.dumps(results))
 
 
 @main.command()
 @click.argument("picture", type=click.Path(path_type=Path))
 @click.argument("files", nargs=-1, type=click.Path(path_type=Path, exists=True))
 def chart(picture: Path, files: tuple[Path, ...]) -> None:
-    """How long until all know, as a distribution, from what ``--json`` kept."""
+    """Plot the distribution of the time until all members know, from files written by ``--json``."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -291,7 +294,7 @@
             shares = [(place + 1) / len(spans) for place in range(len(spans))]
             name = f"{file.stem}, {result['members']} members, {result['loss']:.0%} loss"
             axes.step([0.0, *spans], [0.0, *shares], where="post", label=name)
-    axes.set_xlabel("seconds from a kill until all others call it dead")
+    axes.set_xlabel("seconds from a kill until all others declare it dead")
     axes.set_ylabel("share of kills")
     axes.set_xlim(left=0)
     axes.grid(alpha=0.3)
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -1,9 +1,9 @@
-"""What learning call servers costs, and what faults of name servers do: tables of docs/MEASURED-SOURCES.md.
+"""Cost of discovering call servers, and effect of name server faults: tables of docs/MEASURED-SOURCES.md.
 
 python -m benchmarks.sources campaign [--seconds 30]    each fault in turn under load, in virtual time
-python -m benchmarks.sources targets                    2,000 targets learnt in real time, turn by turn
-python -m benchmarks.sources cost                       CPU a refresh, memory of the cache at its bound
-python -m benchmarks.sources start REV                  start of the platform's process, against a commit
+python -m benchmarks.sources targets                    2,000 targets discovered in real time, by loop turn
+python -m benchmarks.sources cost                       CPU per refresh, memory of a full cache
+python -m benchmarks.sources start REV                  start-up time compared with a commit
 """
 
 from __future__ import annotations
@@ -44,19 +44,19 @@
 S, MS = timedelta(seconds=1), timedelta(milliseconds=1)
 ROOT = Path(__file__).resolve().parent.parent
 LEARNING = ("Flight", "Resolver", "SrvSource", "PoolHost")
-LATE_MS = 5.0  # a turn that takes longer than this because of resolving would be felt by calls
+MAX_TURN_MS = 5.0  # loop turns that resolving makes longer would delay calls noticeably
 
 
 class Turns:
-    """How long the pieces of work of each turn of a loop take, and the longest piece of them."""
+    """Measures the duration of each loop turn and its longest piece of work."""
 
     def __init__(self) -> None:
-        self.spent: list[tuple[float, str]] = []
-        self.learning = 0.0  # the longest piece of work of the resolver, the sources and the pool, in s
+        self.durations: list[tuple[float, str]] = []
+        self.learning = 0.0  # longest piece of work of resolver, sources and pool, in s
         self._now = 0.0
         self._longest = (0.0, "")
         self._depth = 0
-        self.collected = 0.0  # the longest pause of the garbage collector, in s
+        self.collected = 0.0  # longest pause of the garbage collector, in s
         self._collecting = 0.0
         gc.callbacks.append(self._collector)
 
@@ -67,52 +67,52 @@
             self.collected = max(self.collected, time.perf_counter() - self._collecting)
 
     def watch(self, loop: Loop) -> None:
-        """Time everything this loop does from now on."""
-        plain, turn = Scheduler.run_safely, loop.turn
+        """Measure everything this loop runs from now on."""
+        original, turn = Scheduler.run_safely, loop.turn
 
         def timed(work: Callable[..., None], *on: object) -> None:
             self._depth += 1
             began = time.perf_counter()
             try:
-                plain(work, *on)
+                original(work, *on)
             finally:
                 self._depth -= 1
                 if not self._depth:
-                    took = time.perf_counter() - began
-                    self._now += took
+                    duration_s = time.perf_counter() - began
+                    self._now += duration_s
                     name = getattr(work, "__qualname__", type(work).__name__)
-                    self._longest = max(self._longest, (took, name))
+                    self._longest = max(self._longest, (duration_s, name))
                     if name.startswith(LEARNING):
-                        self.learning = max(self.learning, took)
+                        self.learning = max(self.learning, duration_s)
 
         def turned(max_wait: timedelta) -> bool:
             self._now, self._longest = 0.0, (0.0, "")
             busy = turn(max_wait)
-            self.spent.append((self._now, self._longest[1]))
+            self.durations.append((self._now, self._longest[1]))
             return busy
 
         Scheduler.run_safely = staticmethod(timed)  # type: ignore[method-assign]
         loop.turn = turned  # type: ignore[method-assign]
 
     def worst(self) -> tuple[float, str]:
-        """The longest turn in ms, and the piece that took most of it."""
-        took, name = max(self.spent)
-        return took * 1000, name
+        """Return the longest turn in ms and its longest piece of work."""
+        duration_s, name = max(self.durations)
+        return duration_s * 1000, name
 
 
 @click.group()
 def main() -> None:
-    """Measure what learning call servers costs."""
+    """Measure the discovery of call servers."""
 
 
 def one_fault(folder: Path, fault: str, seconds: float, rate: float) -> dict[str, Any]:
-    """Half of the time under the fault, with a drain by the list and one by SRV in it; then all is good."""
+    """Run under one fault for half of the time, with a drain by the list and one by SRV, then without it."""
     more = "ttl_floor_s = 0.5\nttl_ceiling_s = 2.0\ndeadline_ms = 2000"
     site = Site(folder, servers=6, work=100 * MS, ttl=2, more=more)
     callers = site.callers(rate)
     site.run(S)
-    begun, span = site.now, timedelta(seconds=seconds)
-    callers.start(begun, span)
+    began_at, span = site.now, timedelta(seconds=seconds)
+    callers.start(began_at, span)
     before = dict(COUNTERS._counts)
     site.run(span / 6)
     site.plan(fault)
@@ -127,10 +127,10 @@
     site.run(span / 6)
     until = site.now
     site.run(5 * S)
-    asked = sum(len(server.asked) for server in site.names)
+    asked = sum(len(server.queries) for server in site.names)
     return {
         "calls": callers.counts["calls"],
-        "share": callers.share(begun, until),
+        "share": callers.share(began_at, until),
         "unanswered": len(callers.faults()),
         "late": len(site.referee.late(site.servers)),
         "asked": asked,
@@ -140,54 +140,54 @@
 
 @main.command()
 @click.option("--seconds", default=30.0, show_default=True)
-@click.option("--rate", default=36.0, show_default=True, help="calls a second; 40 is what four servers do")
+@click.option("--rate", default=36.0, show_default=True, help="calls per second; four servers do 40")
 def campaign(seconds: float, rate: float) -> None:
-    """Each fault for itself, on the same calls."""
+    """Run each fault separately with the same calls."""
     print("| fault | calls | stood | against none | without an answer | late at a drain | asked | given up |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    calm = None
+    baseline = None
     with tempfile.TemporaryDirectory() as folder:
         for fault in FAULTS:
             row = one_fault(Path(folder), fault, seconds, rate)
-            calm = row["share"] if calm is None else calm
+            baseline = row["share"] if baseline is None else baseline
             print(
-                f"| {fault} | {row['calls']} | {row['share']:.4f} | {row['share'] - calm:+.4f} "
+                f"| {fault} | {row['calls']} | {row['share']:.4f} | {row['share'] - baseline:+.4f} "
                 f"| {row['unanswered']} | {row['late']} | {row['asked']} | {row['given_up']} |",
                 flush=True,
             )
 
 
 class RealSite(Site):
-    """The same in real time, with the loop's turns watched."""
+    """A site in real time that measures the turns of its loop."""
 
-    def __init__(self, folder: Path, **words: Any) -> None:
+    def __init__(self, folder: Path, **options: Any) -> None:
         self.turns = Turns()
-        super().__init__(folder, start=False, **words)
+        super().__init__(folder, start=False, **options)
         self.clock = Clock()
         self.loop = Loop(self.clock)
         self.turns.watch(self.loop)
         self.start()
 
-    def go(self, span: timedelta, done: Callable[[], bool] = lambda: False) -> float:
-        """Let real time pass until something holds; the seconds it took."""
+    def run_for(self, span: timedelta, done: Callable[[], bool] = lambda: False) -> float:
+        """Run in real time until the condition holds; returns the seconds it took."""
         began = time.monotonic()
         while time.monotonic() - began < span.total_seconds() and not done():
             self.loop.turn(ZERO)
-            for stand in self.stands:
-                stand.pump(self.now)
+            for stand_in in self.stands:
+                stand_in.pump(self.now)
         return time.monotonic() - began
 
     def settle(self) -> None:
-        """Real time needs none."""
+        """Do nothing: not needed in real time."""
 
 
-def learnt(site: Site, count: int) -> bool:
-    """Whether so many servers may be called."""
+def targets_known(site: Site, count: int) -> bool:
+    """Whether at least ``count`` servers are serving."""
     return len(site.serving()) >= count
 
 
-def apart(name: NameServer) -> int:
-    """Let a name server go on in a process of its own; its number."""
+def run_in_child(name: NameServer) -> int:
+    """Run a name server in a child process; returns its process id."""
     child = os.fork()
     if child:
         return child
@@ -200,14 +200,14 @@
 @main.command()
 @click.option("--count", default=2000, show_default=True)
 def targets(count: int) -> None:
-    """Targets learnt in real time, while calls go on: at few hosts, and each at its own."""
+    """Discover targets in real time during calls, on few hosts and each on its own."""
     print("| targets | hosts | learnt in | longest turn | its longest piece | turns over 5 ms "
           "| longest piece of learning | longest collection |")  # fmt: skip
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for wanted, hosts in ((30, 30), (300, 1), (300, 300), (count, 1), (count, count)):
         with tempfile.TemporaryDirectory() as folder:
             site = RealSite(Path(folder), servers=1, board=False, name_servers=1)
-            site.go(S)
+            site.run_for(S)
             callers = site.callers(20)
             callers.start(site.now, 4 * S)
             name = site.names[0]
@@ -215,28 +215,28 @@
             name.srv(SRV, *rows, ttl=60)
             for number in range(hosts):
                 name.host(f"h{number}", f"127.1.{number // 256}.{number % 256}", ttl=60)
-            child = apart(name)
+            child = run_in_child(name)
             site.stands.remove(name)
             rounds = COUNTERS["srv.rounds"]
-            site.go(5 * S, lambda start=rounds: COUNTERS["srv.rounds"] > start)  # type: ignore[misc]
+            site.run_for(5 * S, lambda start=rounds: COUNTERS["srv.rounds"] > start)  # type: ignore[misc]
             gc.collect()
             gc.freeze()
             gc.set_threshold(GC_THRESHOLD)
-            site.turns.spent.clear()
+            site.turns.durations.clear()
             site.turns.learning = site.turns.collected = 0.0
-            took = site.go(10 * S, partial(learnt, site, wanted))
+            duration_s = site.run_for(10 * S, partial(targets_known, site, wanted))
             os.kill(child, signal.SIGKILL)
             os.waitpid(child, 0)
             worst, piece = site.turns.worst()
-            over = sum(spent * 1000 > LATE_MS for spent, _ in site.turns.spent)
-            print(f"| {wanted} | {hosts} | {took:.2f} s | {worst:.1f} ms | {piece} | {over} of "
-                  f"{len(site.turns.spent)} | {site.turns.learning * 1000:.1f} ms "
+            over = sum(duration * 1000 > MAX_TURN_MS for duration, _ in site.turns.durations)
+            print(f"| {wanted} | {hosts} | {duration_s:.2f} s | {worst:.1f} ms | {piece} | {over} of "
+                  f"{len(site.turns.durations)} | {site.turns.learning * 1000:.1f} ms "
                   f"| {site.turns.collected * 1000:.1f} ms |", flush=True)  # fmt: skip
 
 
 @main.command()
 def cost() -> None:
-    """CPU of a refresh that brings nothing new, and the memory of a cache that is full."""
+    """CPU of a refresh without changes, and memory of a full cache."""
     world = World()
     server = NameServer()
     world.stands.append(server)
@@ -247,12 +247,12 @@
         server.srv(SRV, *((10, 1, 5000 + n, "h") for n in range(count)), ttl=60)
         server.host("h", "127.0.0.2")
         own = 0.0
-        plain = server.pump
+        original = server.pump
 
-        def pump(now: Any, plain: Any = plain) -> bool:
+        def pump(now: Any, original: Any = original) -> bool:
             nonlocal own
             began = time.process_time()
-            busy: bool = plain(now)
+            busy: bool = original(now)
             own += time.process_time() - began
             return busy
 
@@ -260,13 +260,13 @@
         rounds = 50
         began = time.process_time()
         for _ in range(rounds):
-            got: list[object] = []
-            resolver.resolve(Question(SRV, dns.rdatatype.SRV), got.append, fresh=True)
-            while not got:
+            answers: list[object] = []
+            resolver.resolve(Question(SRV, dns.rdatatype.SRV), answers.append, fresh=True)
+            while not answers:
                 world.seconds += 0.001
                 world.turn()
         total = (time.process_time() - began) / rounds * 1000
-        server.pump = plain  # type: ignore[method-assign]
+        server.pump = original  # type: ignore[method-assign]
         print(f"| {count} | {total:.2f} ms | {own / rounds * 1000:.2f} ms |")
     limits = CacheLimits()
     tracemalloc.start()
@@ -283,12 +283,12 @@
 @click.argument("rev")
 @click.option("--runs", default=15, show_default=True)
 def start(rev: str, runs: int) -> None:
-    """Import of all that `run` on the platform needs: this tree and a commit in turn, as a ratio."""
+    """Ratio of the import time of the program to that of a commit, run alternately."""
     code = "import reedmount.__main__, sys; print(len(sys.modules))"
     with tempfile.TemporaryDirectory() as folder:
         subprocess.run(["git", "worktree", "add", "-q", "--detach", folder, rev], cwd=ROOT, check=True)
         try:
-            took: dict[str, list[float]] = {"this": [], rev: []}
+            durations: dict[str, list[float]] = {"this": [], rev: []}
             modules: dict[str, str] = {}
             for _ in range(runs):
                 for name, where in (("this", ROOT), (rev, Path(folder))):
@@ -297,11 +297,11 @@
                         [sys.executable, "-O", "-c", code], cwd=where, check=True, capture_output=True,
                         text=True, env={**os.environ, "PYTHONPATH": str(where)},
                     )  # fmt: skip
-                    took[name].append(time.perf_counter() - began)
+                    durations[name].append(time.perf_counter() - began)
                     modules[name] = done.stdout.strip()
         finally:
             subprocess.run(["git", "worktree", "remove", "--force", folder], cwd=ROOT, check=True)
-    this, other = statistics.median(took["this"]), statistics.median(took[rev])
+    this, other = statistics.median(durations["this"]), statistics.median(durations[rev])
     print(f"modules {modules['this']} ({modules[rev]} at {rev}); start {this / other:.2f} of that of {rev}")
 
 
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -1,11 +1,11 @@
-"""The store's options on this machine: cost a record, and what each makes of a file in which a bit turned.
+"""Storage options on this machine: cost per record, and how each handles a file with a flipped bit.
 
     python -m benchmarks.storage cost
     python -m benchmarks.storage flips
     python -m benchmarks.storage opening
 
-``docs/design/replicas.md`` has the tables and what was chosen. Each play of ``flips`` is one process:
-a reader may end with it.
+``docs/design/replicas.md`` has the tables and the choice. Each trial of ``flips`` is a process of its own,
+since a corrupt file may crash the reader.
 """
 
 from __future__ import annotations
@@ -31,45 +31,45 @@
 from reedmount.store.log import Log
 from reedmount.store.writer import _Hand
 
-RECORD = 600  # bytes: a standing call with its two dialogs
-MAP = 1 << 28
-HEAD = struct.Struct("<IIQ")
-WRITTEN = 500  # records in a file before a bit is turned in it
+RECORD = 600  # bytes: an established call with its two dialogs
+MAP_SIZE = 1 << 28
+HEADER = struct.Struct("<IIQ")
+RECORD_COUNT = 500  # records in a file before a bit is flipped
 Records = list[tuple[int, bytes]]
 
 
 def record(number: int) -> bytes:
-    """The bytes of a record: another one each, the same each time."""
+    """Return the bytes of a record, different for each number and reproducible."""
     return random.Random(number).randbytes(RECORD)
 
 
 class Segment:
-    """A file that is only ever added to, with a checksum a record."""
+    """An append-only file with a checksum per record."""
 
     def __init__(self, folder: Path, sync: bool) -> None:
         self._fd = os.open(folder / "log", os.O_CREAT | os.O_RDWR | os.O_APPEND)
         self._sync = sync
 
     def write(self, records: Records) -> None:
-        """A batch."""
+        """Write a batch."""
         out = []
         for number, data in records:
-            rest = HEAD.pack(0, len(data), number)[4:] + data
+            rest = HEADER.pack(0, len(data), number)[4:] + data
             out += [crc32c.crc32c(rest).to_bytes(4, "little"), rest]
         os.write(self._fd, b"".join(out))
         if self._sync:
             os.fdatasync(self._fd)
 
     def read(self) -> Records:
-        """All of it; ValueError at the first record that is not as it was written."""
-        found, raw, at = [], os.pread(self._fd, MAP, 0), 0
+        """Read all records; raise ValueError at the first corrupt one."""
+        found, raw, at = [], os.pread(self._fd, MAP_SIZE, 0), 0
         while at < len(raw):
-            check, size, number = HEAD.unpack_from(raw, at)
-            end = at + HEAD.size + size
+            check, size, number = HEADER.unpack_from(raw, at)
+            end = at + HEADER.size + size
             if crc32c.crc32c(raw[at + 4 : end]) != check:
                 raise ValueError("checksum")
-            found.append((number, raw[at + HEAD.size : end]))
-            at += HEAD.size + size
+            found.append((number, raw[at + HEADER.size : end]))
+            at += HEADER.size + size
         return found
 
 
@@ -77,16 +77,16 @@
     """LMDB, keys in ascending order."""
 
     def __init__(self, folder: Path, sync: bool) -> None:
-        self._env = lmdb.open(str(folder), map_size=MAP, sync=sync, metasync=False)
+        self._env = lmdb.open(str(folder), map_size=MAP_SIZE, sync=sync, metasync=False)
 
     def write(self, records: Records) -> None:
-        """A batch, one transaction."""
+        """Write a batch in one transaction."""
         with self._env.begin(write=True) as work:
             for number, data in records:
                 work.put(struct.pack(">Q", number), data, append=True)
 
     def read(self) -> Records:
-        """All of it."""
+        """Read all records."""
         with self._env.begin() as work:
             return [(struct.unpack(">Q", key)[0], bytes(data)) for key, data in work.cursor()]
 
@@ -101,12 +101,12 @@
         self._db.execute("create table if not exists log (number integer primary key, data blob)")
 
     def write(self, records: Records) -> None:
-        """A batch, one transaction."""
+        """Write a batch in one transaction."""
         with self._db:
             self._db.executemany("insert into log values (?, ?)", records)
 
     def read(self) -> Records:
-        """All of it."""
+        """Read all records."""
         return list(self._db.execute("select number, data from log order by number"))
 
 
@@ -116,13 +116,13 @@
 
 @click.group()
 def main() -> None:
-    """Measure what the store could be made of."""
+    """Measure storage options."""
 
 
 @main.command()
-@click.option("--count", default=4096, show_default=True, help="records each")
+@click.option("--count", default=4096, show_default=True, help="records of each option")
 def cost(count: int) -> None:
-    """Microseconds a record, by batch and with and without a sync of each batch: the best of five."""
+    """Microseconds per record by batch size, with and without a sync of each batch: the best of five."""
     click.echo("| | sync | batch | wall, us a record | processor, us a record |")
     click.echo("| --- | --- | --- | --- | --- |")
     for sync in (True, False):
@@ -145,7 +145,7 @@
 @main.command()
 @click.option("--counts", default="10000,100000,1000000", show_default=True)
 def opening(counts: str) -> None:
-    """How long the program's own log takes to open, and what it needs of memory, by its records."""
+    """Time to open the log of the program and its memory, by number of records."""
     click.echo("| records | bytes, MB | opened after, s | memory, MB | a read, us |")
     click.echo("| --- | --- | --- | --- | --- |")
     for count in (int(text) for text in counts.split(",")):
@@ -161,35 +161,35 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.argument("count", type=int)
 def part(step: str, folder: Path, count: int) -> None:
-    """One step of ``opening``, in a process of its own."""
+    """Run one step of ``opening`` in a process of its own."""
     disk = RealDisk(folder)
     log = Log(disk)
     if step == "write":
-        hand = _Hand(disk, sync=False)
+        executor = _Hand(disk, sync=False)
         for number in range(count):
             log.put(b"call-%08d" % number, record(number % 100))
             if number % 1000 == 999 or number == count - 1:
                 while (batch := log.next_batch()) is not None:
-                    hand.do(batch)
+                    executor.do(batch)
                     log.done(batch)
         return
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    begun = time.perf_counter()
+    began = time.perf_counter()
     log.open()
-    took = time.perf_counter() - begun
+    duration_s = time.perf_counter() - began
     memory = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024
     assert len(log) == count and log.opened.whole
-    begun = time.perf_counter()
+    began = time.perf_counter()
     for number in range(0, count, max(1, count // 1000)):
         assert log.get(b"call-%08d" % number) == record(number % 100)
-    read = (time.perf_counter() - begun) / min(count, 1000) * 1e6
-    click.echo(f"| {count:,} | {log.size / 1e6:.0f} | {took:.2f} | {memory:.0f} | {read:.0f} |")
+    read = (time.perf_counter() - began) / min(count, 1000) * 1e6
+    click.echo(f"| {count:,} | {log.size / 1e6:.0f} | {duration_s:.2f} | {memory:.0f} | {read:.0f} |")
 
 
 @main.command()
 @click.option("--plays", default=200, show_default=True)
 def flips(plays: int) -> None:
-    """What a reader is given after one bit of the file has turned, at a place drawn anew each time."""
+    """Count what a reader returns after one bit of the file was flipped at a random position."""
     click.echo("| | as written | an error | something else, in silence | the process ended |")
     click.echo("| --- | --- | --- | --- | --- |")
     for name in OPTIONS:
@@ -207,12 +207,12 @@
 @click.argument("name", type=click.Choice(sorted(OPTIONS)))
 @click.argument("seed", type=int)
 def flip(name: str, seed: int) -> None:
-    """One play: write, turn a bit, read in another process's place."""
-    written = [(number, record(number)) for number in range(WRITTEN)]
+    """Run one trial: write in a child process, flip a bit, and read."""
+    written = [(number, record(number)) for number in range(RECORD_COUNT)]
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
         child = os.fork()
-        if not child:  # so that nothing of it is in our memory
+        if not child:  # keeps no state of the writer in this process
             OPTIONS[name](folder, True).write(written)
             os._exit(0)
         os.waitpid(child, 0)
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m standins``: a name server with its call servers, and callers, in real time on loopback."""
+"""``python -m standins``: stand-ins in real time on loopback, and the simulation of a fleet."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 from standins.fleet.settings import days
 from standins.nameserver import FAULTS, NameServer
 
-LONGEST_WAIT_S = 0.005
+MAX_WAIT_S = 0.005
 LOOPBACK = ("127.", "::1")
 
 
-class Stand(Protocol):
-    """A stand-in."""
+class StandIn(Protocol):
+    """Interface of a stand-in."""
 
     def descriptors(self) -> list[int]:
-        """What to wait for."""
+        """Return the file descriptors to poll for reading."""
 
     def pump(self, now: datetime) -> bool:
-        """Take what has come, send what is due."""
+        """Process input and send what is due; whether there was any."""
 
 
-class Place(click.ParamType[Address]):
-    """An address on loopback with a port; the stand-ins speak to nobody else."""
+class LoopbackAddress(click.ParamType[Address]):
+    """A loopback address with a port; the stand-ins use no other addresses."""
 
     name = "ADDRESS:PORT"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        """Read and check it."""
+        """Parse and check the address."""
         try:
-            place = parse_address(str(value))
+            address = parse_address(str(value))
         except ValueError as error:
             self.fail(str(error), param, ctx)
-        if not place[0].startswith(LOOPBACK):
-            self.fail(f"{place[0]} is not on loopback", param, ctx)
-        return place
+        if not address[0].startswith(LOOPBACK):
+            self.fail(f"{address[0]} is not on loopback", param, ctx)
+        return address
 
 
 def now() -> datetime:
-    """The time."""
+    """Return the current time."""
     return datetime.now(UTC)
 
 
-def turn(stands: Sequence[Stand], until: float | None = None) -> None:
-    """Let them go on in real time, until then or until stopped."""
+def run_stand_ins(stand_ins: Sequence[StandIn], until: float | None = None) -> None:
+    """Run stand-ins in real time until the deadline or a signal."""
     stopped = False
 
     def stop(*_: object) -> None:
@@ -68,56 +68,61 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, stop)
     while not stopped and (until is None or time.monotonic() < until):
-        waiting = [fd for stand in stands for fd in stand.descriptors()]
-        select.select(waiting, [], [], LONGEST_WAIT_S)
-        while any([stand.pump(now()) for stand in stands]):
+        descriptors = [fd for stand_in in stand_ins for fd in stand_in.descriptors()]
+        select.select(descriptors, [], [], MAX_WAIT_S)
+        while any([stand_in.pump(now()) for stand_in in stand_ins]):
             pass
 
 
 @click.group()
 def main() -> None:
-    """Stand-ins for what lives outside, on loopback only."""
+    """Stand-ins for external systems, on loopback only."""
 
 
 @main.command()
 @click.argument("zone", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--listen", type=Place(), default="127.0.0.1:5300", show_default=True, help="the name server")
-@click.option("--rate", default=50.0, show_default=True, help="set-ups a second that a call server can do")
+@click.option(
+    "--listen", type=LoopbackAddress(), default="127.0.0.1:5300", show_default=True, help="the name server"
+)
+@click.option("--rate", default=50.0, show_default=True, help="set-ups per second of each call server")
 @click.option("--fault", type=click.Choice(sorted(FAULTS)), default="good", show_default=True)
 def town(zone: Path, listen: Address, rate: float, fault: str) -> None:
-    """A name server for ZONE, and a call server at each SRV target of it. SIGTERM ends it."""
-    names = NameServer(listen)
-    names.load(zone)
-    names.plan(fault)
+    """Run a name server for ZONE, and a call server at each of its SRV targets, until SIGTERM."""
+    name_server = NameServer(listen)
+    name_server.load(zone)
+    name_server.plan(fault)
     servers = [
-        CallServer(address, transport, timedelta(seconds=1 / rate)) for address, transport in targets(names)
+        CallServer(address, transport, timedelta(seconds=1 / rate))
+        for address, transport in targets(name_server)
     ]
-    places = ", ".join(f"{server.transport}:{format_address(server.address)}" for server in servers)
-    click.echo(f"name server at {format_address(names.address)}; call servers at {places}")
-    turn([names, *servers])
+    addresses = ", ".join(f"{server.transport}:{format_address(server.address)}" for server in servers)
+    click.echo(f"name server at {format_address(name_server.address)}; call servers at {addresses}")
+    run_stand_ins([name_server, *servers])
     for server in servers:
         click.echo(f"{server.transport}:{format_address(server.address)} {dict(server.counts)}")
-    click.echo(f"name server {dict(names.counts)}")
+    click.echo(f"name server {dict(name_server.counts)}")
 
 
 @main.command()
-@click.argument("to", type=Place())
-@click.option("--rate", default=20.0, show_default=True, help="calls a second, open loop")
+@click.argument("to", type=LoopbackAddress())
+@click.option("--rate", default=20.0, show_default=True, help="calls per second, open loop")
 @click.option("--seconds", default=5.0, show_default=True)
-@click.option("--hold", default=1.0, show_default=True, help="seconds that a call stands")
+@click.option("--hold", default=1.0, show_default=True, help="holding time of a call in seconds")
 @click.option("--seed", default=1, show_default=True)
 def call(to: Address, rate: float, seconds: float, hold: float, seed: int) -> None:
-    """Call the border controller at TO, and say what came of it. Exit status 1 where a call has no answer."""
+    """Call the border controller at TO and print the results. Exit status 1 if a call has no answer."""
     callers = Callers(to, rate, seed, timedelta(seconds=hold))
     callers.start(now(), timedelta(seconds=seconds))
-    turn([callers], time.monotonic() + seconds + hold + 0.5)
+    run_stand_ins([callers], time.monotonic() + seconds + hold + 0.5)
     deadline = time.monotonic() + 10.0
     while time.monotonic() < deadline and callers.faults():
-        turn([callers], time.monotonic() + 0.2)
+        run_stand_ins([callers], time.monotonic() + 0.2)
     delays = sorted(callers.delays()) or [0.0]
-    counted = dict(Counter(str(placed.final) for placed in callers.calls.values()))
+    outcomes = dict(Counter(str(placed.final) for placed in callers.calls.values()))
     median, longest = delays[len(delays) // 2] * 1000, delays[-1] * 1000
-    click.echo(f"{len(callers.calls)} calls: {counted}; answers in {median:.1f} ms, at most {longest:.1f} ms")
+    click.echo(
+        f"{len(callers.calls)} calls: {outcomes}; answers in {median:.1f} ms, at most {longest:.1f} ms"
+    )
     for fault in callers.faults()[:10]:
         click.echo(fault)
     raise SystemExit(1 if callers.faults() else 0)
@@ -128,23 +133,23 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--instances", default=200, show_default=True)
 @click.option("--servers", default=24, show_default=True)
-@click.option("--seconds", default=40.0, show_default=True, help="of the day, in its own time")
+@click.option("--seconds", default=40.0, show_default=True, help="length of the day in virtual time")
 def fleet(day: str, seed: int, instances: int, servers: int, seconds: float) -> None:
-    """Play DAY with many border controllers in virtual time, and say what it came to."""
-    plan = replace(days()[day], instances=instances, servers=servers, length_s=seconds)
-    for name, value in asdict(Fleet(plan, seed).run()).items():
+    """Simulate DAY with many border controllers in virtual time, and print the result."""
+    scenario = replace(days()[day], instances=instances, servers=servers, length_s=seconds)
+    for name, value in asdict(Fleet(scenario, seed).run()).items():
         click.echo(f"{name:18} {value:.3f}" if isinstance(value, float) else f"{name:18} {value}")
 
 
-def targets(names: NameServer) -> list[tuple[Address, str]]:
-    """The address and transport of each SRV target."""
+def targets(name_server: NameServer) -> list[tuple[Address, str]]:
+    """Return the address and transport of each SRV target."""
     found: dict[Address, str] = {}
-    for (owner, kind), rrset in names.records.items():
+    for (owner, kind), rrset in name_server.records.items():
         if kind != dns.rdatatype.SRV:
             continue
         transport = owner.labels[1].decode().lstrip("_")
         for record in rrset:
-            for address in names.records.get((record.target, dns.rdatatype.A), ()):
+            for address in name_server.records.get((record.target, dns.rdatatype.A), ()):
                 found.setdefault((address.address, record.port), transport)
     return list(found.items())
 
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -1,6 +1,7 @@
-"""Members that keep copies for each other, in virtual time: ways that break, members that die, calls.
+"""Simulation of members that replicate calls, in virtual time: broken links, killed members, calls.
 
-The state machines are those that serve; the net, the view and the calls are played here. Same seed, same run.
+The state machines are those of the program; network, views and calls are simulated. A run is reproducible
+from its seed.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
 from reedmount.replicas.replicas import Fenced, Replicas, TakenOver
 
 START = EPOCH + timedelta(days=20_000)
-SEEN_AFTER_S = 3.0  # a member that is gone or cut off is called dead
-BACK_AFTER_S = 1.0  # and one that is back is seen to be
+DEAD_AFTER_S = 3.0  # until a member that is down or cut off is declared dead
+ALIVE_AFTER_S = 1.0  # until a member that has returned is seen alive
 TICK_S = 0.1
-WAY_S = (0.0005, 0.004)
-DISK_S = (0.0002, 0.004)
+LATENCY_S = (0.0005, 0.004)
+DISK_WRITE_S = (0.0002, 0.004)
 
 
 @dataclass(slots=True)
 class Call:
-    """One call, as whoever placed it sees it."""
+    """One call, as its caller sees it."""
 
     key: str
     owner: str
     boot_id: int
     seqs: dict[Phase, tuple[ShardId, int]] = field(default_factory=dict)
-    stands: bool = False  # it was promised: its dialogs were durable, and its caller had its 200
-    over: bool = False  # ended by its owner
+    established: bool = False  # its dialogs are durable, and its caller got its 200
+    ended: bool = False  # whether its owner ended it
     dropped: bool = False
-    released: list[str] = field(default_factory=list)  # by whom, of those that took over
+    released: list[str] = field(default_factory=list)  # the members that took over and released it
 
 
 @dataclass(slots=True)
@@ -50,7 +51,7 @@
 
 
 class Group:
-    """All of them. ``run`` lets time pass; ``problems`` says what broke."""
+    """All members. ``run`` advances the time; ``problems`` lists violations."""
 
     def __init__(self, count: int, seed: int, faults: int = 1, rate: float = 8.0) -> None:
         self.rng = random.Random(seed)
@@ -58,78 +59,80 @@
         self.faults, self.rate = faults, rate
         self.members = {name: Member(name) for name in self.names}
         self.calls: dict[str, Call] = {}
-        self._open: dict[str, dict[str, Call]] = defaultdict(dict)  # by owner, of this life
+        # By owner, in the current run of its process.
+        self._open: dict[str, dict[str, Call]] = defaultdict(dict)
         self.terms: dict[tuple[ShardId, Term], str] = {}
         self.problems: list[str] = []
         self.now_s = 0.0
         self.messages = self.bytes = 0
         self._cut: set[frozenset[str]] = set()
-        self._apart_since: dict[frozenset[str], float] = {}
-        self._back_at: dict[frozenset[str], float] = {}
-        self._links: dict[tuple[str, str], int] = defaultdict(int)  # generations: what was on its way is lost
-        self._last: dict[tuple[str, str], float] = defaultdict(float)
+        self._disconnected_since: dict[frozenset[str], float] = {}
+        self._alive_again_at: dict[frozenset[str], float] = {}
+        # Generation of each link; messages of an earlier one are lost.
+        self._links: dict[tuple[str, str], int] = defaultdict(int)
+        self._last_arrival: dict[tuple[str, str], float] = defaultdict(float)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = 0
+        self._sequence = 0
         for name in self.names:
             self.start(name)
-        self.after(TICK_S, self._tick)
+        self.call_later(TICK_S, self._tick)
 
     # --- faults ---
 
     def start(self, name: str) -> None:
-        """A new life, with an empty memory and disk."""
+        """Start a new run of a member, with an empty memory and disk."""
         member = self.members[name]
         member.boot_id += 1
         self._open[name].clear()
         member.replicas = Replicas(name, member.boot_id, self.names, self.faults)
         for other in self.names:
-            self._join(name, other)
+            self._connect(name, other)
         if self.rate:
-            self.after(self.rng.expovariate(self.rate), lambda: self._place(name, member.boot_id))
+            self.call_later(self.rng.expovariate(self.rate), lambda: self._place_call(name, member.boot_id))
 
     def kill(self, name: str) -> None:
-        """It is gone with all that it had."""
+        """Kill a member; its memory and disk are lost."""
         self.members[name].replicas = None
         for other in self.names:
-            self._part(name, other)
+            self._disconnect(name, other)
 
     def cut(self, *names: str) -> None:
-        """These are cut off from all others."""
+        """Cut off these members from all others."""
         for name in names:
             for other in self.names:
                 if other not in names:
                     self._cut.add(frozenset((name, other)))
-                    self._part(name, other)
+                    self._disconnect(name, other)
 
     def heal(self) -> None:
-        """All ways are whole."""
+        """Repair all links."""
         cut, self._cut = self._cut, set()
         for one, other in sorted(sorted(pair) for pair in cut):
-            self._join(one, other)
+            self._connect(one, other)
 
-    def _apart(self, one: str, other: str) -> bool:
+    def _is_disconnected(self, one: str, other: str) -> bool:
         members = self.members
-        gone = members[one].replicas is None or members[other].replicas is None
-        return gone or frozenset((one, other)) in self._cut
+        down = members[one].replicas is None or members[other].replicas is None
+        return down or frozenset((one, other)) in self._cut
 
-    def _part(self, one: str, other: str) -> None:
+    def _disconnect(self, one: str, other: str) -> None:
         if one == other:
             return
         pair = frozenset((one, other))
-        self._apart_since.setdefault(pair, self.now_s)
+        self._disconnected_since.setdefault(pair, self.now_s)
         for a, b in ((one, other), (other, one)):
             self._links[a, b] += 1
             replicas = self.members[a].replicas
             if replicas is not None:
                 replicas.lost(b)
 
-    def _join(self, one: str, other: str) -> None:
-        if one == other or self._apart(one, other):
+    def _connect(self, one: str, other: str) -> None:
+        if one == other or self._is_disconnected(one, other):
             return
         pair = frozenset((one, other))
-        since = self._apart_since.pop(pair, self.now_s)
-        if self.now_s - since > SEEN_AFTER_S:
-            self._back_at[pair] = self.now_s + BACK_AFTER_S
+        since = self._disconnected_since.pop(pair, self.now_s)
+        if self.now_s - since > DEAD_AFTER_S:
+            self._alive_again_at[pair] = self.now_s + ALIVE_AFTER_S
         for a, b in ((one, other), (other, one)):
             self._links[a, b] += 1
             replicas = self.members[a].replicas
@@ -141,17 +144,17 @@
 
     @property
     def now(self) -> datetime:
-        """The time."""
+        """The current virtual time."""
         return START + timedelta(seconds=self.now_s)
 
-    def after(self, span_s: float, work: Callable[[], None]) -> None:
-        """Do it then."""
-        self._order += 1
-        heapq.heappush(self._heap, (self.now_s + span_s, self._order, work))
+    def call_later(self, duration_s: float, work: Callable[[], None]) -> None:
+        """Run a function after a delay."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (self.now_s + duration_s, self._sequence, work))
 
-    def run(self, span_s: float) -> None:
-        """Let time pass."""
-        end = self.now_s + span_s
+    def run(self, duration_s: float) -> None:
+        """Run for a time span."""
+        end = self.now_s + duration_s
         while self._heap and self._heap[0][0] <= end:
             self.now_s, _, work = heapq.heappop(self._heap)
             work()
@@ -162,9 +165,9 @@
             if member.replicas is not None:
                 member.replicas.tick(self.now, View(self, name))
                 self._carry_out(name)
-        self.after(TICK_S, self._tick)
+        self.call_later(TICK_S, self._tick)
 
-    # --- what they want ---
+    # --- outputs of the state machines ---
 
     def _carry_out(self, name: str) -> None:
         replicas = self.members[name].replicas
@@ -189,14 +192,15 @@
                 self.problems.append(f"{shard} is owned by {name} and {holder} in term {owner.copy.term}")
 
     def _send(self, sender: str, to: str, message: Message) -> None:
-        if self._apart(sender, to):
+        if self._is_disconnected(sender, to):
             return
         data = frame(message)
         self.messages += 1
         self.bytes += len(data)
         link = self._links[sender, to]
-        at = max(self._last[sender, to], self.now_s + self.rng.uniform(*WAY_S))  # in order, as TCP has it
-        self._last[sender, to] = at
+        # Messages arrive in order, as over TCP.
+        at = max(self._last_arrival[sender, to], self.now_s + self.rng.uniform(*LATENCY_S))
+        self._last_arrival[sender, to] = at
 
         def arrive() -> None:
             replicas = self.members[to].replicas
@@ -204,7 +208,7 @@
                 replicas.heard(self.now, sender, unframe(data))
                 self._carry_out(to)
 
-        self.after(at - self.now_s, arrive)
+        self.call_later(at - self.now_s, arrive)
 
     def _write(self, name: str, shard: ShardId, seq: int) -> None:
         boot_id = self.members[name].boot_id
@@ -215,21 +219,21 @@
                 replicas.kept(self.now, shard, seq)
                 self._carry_out(name)
 
-        self.after(self.rng.uniform(*DISK_S), written)
+        self.call_later(self.rng.uniform(*DISK_WRITE_S), written)
 
     # --- calls ---
 
-    def _place(self, name: str, boot_id: int) -> None:
+    def _place_call(self, name: str, boot_id: int) -> None:
         member = self.members[name]
         if member.replicas is None or member.boot_id != boot_id or not self.rate:
             return
         call = Call(f"{name}/{boot_id}/{len(self.calls)}", name, boot_id)
         self.calls[call.key] = self._open[name][call.key] = call
-        self._step(call, Phase.TAKEN)
-        self.after(self.rng.uniform(0.02, 0.2), lambda: self._step(call, Phase.STANDS))
-        self.after(self.rng.expovariate(self.rate), lambda: self._place(name, boot_id))
+        self._advance(call, Phase.TAKEN)
+        self.call_later(self.rng.uniform(0.02, 0.2), lambda: self._advance(call, Phase.STANDS))
+        self.call_later(self.rng.expovariate(self.rate), lambda: self._place_call(name, boot_id))
 
-    def _step(self, call: Call, phase: Phase) -> None:
+    def _advance(self, call: Call, phase: Phase) -> None:
         member = self.members[call.owner]
         if member.replicas is None or member.boot_id != call.boot_id or call.released:
             return
@@ -239,25 +243,37 @@
         shard = before[0] if before is not None else member.replicas.shard
         seq = member.replicas.put(self.now, call.key, phase, b"x" * self.rng.randrange(200), shard)
         if not seq:
-            return  # it was fenced: whoever has it now has this call as well
+            return  # fenced: the member that took over the shard has this call too
         call.seqs[phase] = (shard, seq)
         if phase is Phase.OVER:
-            call.over = True
+            call.ended = True
         self._carry_out(call.owner)
 
     def _durable(self, name: str, shard: ShardId, seq: int) -> None:
         if shard.owner != name:
             return
         for call in list(self._open[name].values()):
-            stands, over = call.seqs.get(Phase.STANDS), call.seqs.get(Phase.OVER)
-            if call.owner == name and stands and stands[0] == shard and stands[1] <= seq and not call.stands:
-                call.stands = True
+            established_at, ended_at = call.seqs.get(Phase.STANDS), call.seqs.get(Phase.OVER)
+            if (
+                call.owner == name
+                and established_at
+                and established_at[0] == shard
+                and established_at[1] <= seq
+                and not call.established
+            ):
+                call.established = True
                 hold = self.rng.uniform(0.1, 6.0)
-                self.after(hold, lambda call=call: self._step(call, Phase.OVER))  # type: ignore[misc]
-            if over and over[0] == shard and over[1] <= seq and not call.dropped and call.owner == name:
+                self.call_later(hold, lambda call=call: self._advance(call, Phase.OVER))  # type: ignore[misc]
+            if (
+                ended_at
+                and ended_at[0] == shard
+                and ended_at[1] <= seq
+                and not call.dropped
+                and call.owner == name
+            ):
                 call.dropped = True
                 del self._open[name][call.key]
-                self.after(0.5, lambda call=call: self._step(call, Phase.DROPPED))  # type: ignore[misc]
+                self.call_later(0.5, lambda call=call: self._advance(call, Phase.DROPPED))  # type: ignore[misc]
 
     def _taken_over(self, name: str, taken: TakenOver) -> None:
         replicas = self.members[name].replicas
@@ -266,7 +282,7 @@
             call.released.append(name)
             if replicas is not None:
                 replicas.put(self.now, entry.key, Phase.OVER, b"released", taken.shard)
-        self.after(0.0, lambda: self._carry_out(name))
+        self.call_later(0.0, lambda: self._carry_out(name))
 
     def _fenced(self, name: str, fenced: Fenced) -> None:
         replicas = self.members[name].replicas
@@ -277,41 +293,41 @@
             call.seqs = {phase: where for phase, where in call.seqs.items() if phase is Phase.TAKEN}
             call.seqs[Phase.TAKEN] = (replicas.shard, replicas.put(self.now, entry.key, Phase.TAKEN, b""))
 
-    # --- what must hold ---
+    # --- checks ---
 
-    def orphans(self) -> list[str]:
-        """Calls that were promised, whose owner is gone or let go of them, and that nobody has released."""
+    def unreleased_calls(self) -> list[str]:
+        """List established calls without an owner that no member has released."""
         found = []
         for call in self.calls.values():
             member = self.members[call.owner]
             shard = call.seqs[Phase.STANDS][0] if Phase.STANDS in call.seqs else None
-            there = member.replicas is not None and member.boot_id == call.boot_id
-            kept = there and member.replicas is not None and shard in member.replicas.owners
-            if call.stands and not call.over and not kept and not call.released:
+            alive = member.replicas is not None and member.boot_id == call.boot_id
+            kept = alive and member.replicas is not None and shard in member.replicas.owners
+            if call.established and not call.ended and not kept and not call.released:
                 found.append(call.key)
         return found
 
 
 class View:
-    """What one member\'s view says: who was out of touch for long is dead; a majority is more than half."""
+    """The view of one member: members out of contact for long are dead; a majority is more than half."""
 
     def __init__(self, group: Group, me: str) -> None:
         self._group, self._me = group, me
 
     def boot_id_of(self, name: str) -> int | None:
-        """Of a member that is taken for alive."""
+        """Return the boot id of a member that is considered alive, else None."""
         if name == self._me:
             return self._group.members[name].boot_id
         pair = frozenset((name, self._me))
-        since = self._group._apart_since.get(pair)
-        if self._group.now_s < self._group._back_at.get(pair, 0.0):
+        since = self._group._disconnected_since.get(pair)
+        if self._group.now_s < self._group._alive_again_at.get(pair, 0.0):
             return None
-        if since is not None and self._group.now_s - since > SEEN_AFTER_S:
+        if since is not None and self._group.now_s - since > DEAD_AFTER_S:
             return None
         return self._group.members[name].boot_id
 
     @property
     def has_quorum(self) -> bool:
-        """Whether more than half are there."""
-        there = sum(self.boot_id_of(name) is not None for name in self._group.names)
-        return 2 * there > len(self._group.names)
+        """Whether more than half of the members are considered alive."""
+        alive = sum(self.boot_id_of(name) is not None for name in self._group.names)
+        return 2 * alive > len(self._group.names)
--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Many border controllers, each the real module, before a few call servers, in virtual time from one seed.
+"""Simulation of many border controllers with the real control module and a few call servers, in virtual time.
 
-Nothing here listens or speaks: what lies between callers, modules and call servers is a queue of events. What
-one instance does harmlessly and all together do not is counted over the fleet: see ``figures``.
+No sockets are used: an event queue with one seed connects callers, modules and call servers. Effects that are
+harmless in one instance but not in many at once are counted over the fleet, see ``figures``.
 """
--- a/standins/fleet/exchange.py
+++ b/standins/fleet/exchange.py
@@ -1,6 +1,6 @@
-"""What an instance that starts anew learns from others, in the model: told and joined as members do it.
+"""What a restarted instance learns from others in the model, with the facts and beliefs of members.
 
-How a belief enters the module is written here alone so far: the program does not do it yet.
+The program does not pass beliefs to the control module yet; only this model does.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 MICRO = timedelta(microseconds=1)
 
 
-def instant(now_us: int) -> datetime:
-    """The model's time as members count it."""
+def to_datetime(now_us: int) -> datetime:
+    """Convert the time of the model to that of members."""
     return EPOCH + now_us * MICRO
 
 
-def facts_of(instance: Instance, now_us: int) -> list[Fact]:
-    """What it has seen itself: of servers that answered it."""
+def observed_facts(instance: Instance, now_us: int) -> list[Fact]:
+    """Return what an instance observed itself, of the servers that answered it."""
     return [
         Fact(
             server=server.id,
@@ -42,17 +42,18 @@
 
 
 def learn(instance: Instance, others: Iterable[Instance], now_us: int) -> int:
-    """Take what three or more of these say of servers that it knows nothing of itself; of how many it did."""
+    """Adopt what three or more others report of servers not yet observed; returns the number of servers."""
     knowledge, count = Knowledge(f"n{instance.number}"), 0
     for other in others:
-        knowledge.told(instant(now_us), facts_of(other, now_us))
+        knowledge.told(to_datetime(now_us), observed_facts(other, now_us))
         count += 1
     return sum(
-        _believe(instance.module, belief, now_us) for belief in knowledge.beliefs(instant(now_us), count)
+        _apply_belief(instance.module, belief, now_us)
+        for belief in knowledge.beliefs(to_datetime(now_us), count)
     )
 
 
-def _believe(module: Controller, belief: Belief, now_us: int) -> bool:
+def _apply_belief(module: Controller, belief: Belief, now_us: int) -> bool:
     server: Server | None = module._servers.get(belief.server)
     if server is None or server.reading_at_us >= 0 or belief.window is None or belief.delay_us is None:
         return False
--- a/standins/fleet/instance.py
+++ b/standins/fleet/instance.py
@@ -1,4 +1,4 @@
-"""One border controller of the fleet: the real module, and what its core would do with the module's words."""
+"""One border controller of the fleet: the real control module, and a model of the core around it."""
 
 from __future__ import annotations
 
@@ -13,273 +13,279 @@
 from standins.fleet.processor import Processor, SetUp
 
 
-class World(Protocol):
-    """What an instance needs of the fleet round it."""
+class FleetInterface(Protocol):
+    """What an instance needs from the fleet."""
 
     @property
     def now_us(self) -> int:
-        """The time."""
+        """The time in microseconds."""
 
     @property
     def settings(self) -> i.Settings:
-        """What each instance is told."""
+        """The settings of each instance."""
 
-    def after(self, span_s: float, work: Callable[[], None]) -> None:
-        """Do it after a span."""
+    def call_later(self, delay_s: float, work: Callable[[], None]) -> None:
+        """Run a function after a delay."""
 
-    def way_s(self, instance: Instance, server: Processor) -> float | None:
-        """How long a message takes; None where it never comes."""
+    def latency_s(self, instance: Instance, server: Processor) -> float | None:
+        """Return the latency of a message, None if it is lost."""
 
     def find(self, server: str) -> Processor | None:
-        """The call server of that name, where there is one."""
+        """Return the call server of that name, if it exists."""
 
-    def sent(self, instance: Instance, server: Processor) -> None:
-        """A set-up has gone out."""
+    def record_sent(self, instance: Instance, server: Processor) -> None:
+        """Record that a set-up was sent."""
 
     @property
-    def lanes(self) -> tuple[int, int]:
-        """How many connections an instance holds to one call server, and in all."""
+    def connection_limits(self) -> tuple[int, int]:
+        """The limits on connections of an instance, to one call server and in total."""
 
 
-class Try(Protocol):
-    """A caller's try, as an instance sees it."""
+class CallerInterface(Protocol):
+    """A caller, as an instance sees it."""
 
     number: int
 
-    def answered(self, how: str, pause_s: float) -> None:
-        """Its final answer."""
+    def rejected(self, how: str, pause_s: float) -> None:
+        """The try ended without an established call."""
 
-    def stands(self, server: Processor) -> None:
-        """Its final answer: it stands."""
+    def established(self, server: Processor) -> None:
+        """The call is established."""
 
 
 @dataclass(slots=True, eq=False)
-class Open:
-    """A call that is owed an answer."""
+class PendingCall:
+    """A call without a final answer."""
 
-    caller: Try
+    caller: CallerInterface
     attempts: int = 0
-    out: SetUp | None = None
+    setup: SetUp | None = None
     server: Processor | None = None
     sent_us: int = 0
-    gone: bool = False
+    abandoned: bool = False
 
 
 class Instance:
-    """A module with its calls, attempts and connections; ``kill`` and ``start`` make a new one of it."""
+    """A control module with its calls, attempts and connections; ``kill`` and ``start`` restart it."""
 
-    def __init__(self, world: World, number: int, zone: int, seeds: random.Random) -> None:
-        self.world, self.number, self.zone, self._seeds = world, number, zone, seeds
+    def __init__(self, fleet: FleetInterface, number: int, zone: int, seeds: random.Random) -> None:
+        self.fleet, self.number, self.zone, self._seeds = fleet, number, zone, seeds
         self.alive = False
         self.opened = 0  # connections
-        self.held: dict[str, int] = {}  # connections to each server
-        self._told: tuple[int, tuple[i.ServerEntry, ...]] = (0, ())
-        self._life = 0
-        self._next = 1
-        self.open: dict[int, Open] = {}
-
-    def start(self, known: tuple[i.ServerEntry, ...] | None = None) -> None:
-        """A new process; it knows the list as given, else as the one before it last had it."""
+        self.connections: dict[str, int] = {}  # connections to each server
+        self._server_list: tuple[int, tuple[i.ServerEntry, ...]] = (0, ())
+        self._run = 0
+        self._next_number = 1
+        self.pending: dict[int, PendingCall] = {}
+
+    def start(self, server_list: tuple[i.ServerEntry, ...] | None = None) -> None:
+        """Start a new process with the given server list, or with the last one of the previous process."""
         self.alive = True
-        self._told = self._told if known is None else (1, known)
-        self._life += 1
-        self.module = Controller(self.world.settings, self._seeds.getrandbits(63))
+        self._server_list = self._server_list if server_list is None else (1, server_list)
+        self._run += 1
+        self.module = Controller(self.fleet.settings, self._seeds.getrandbits(63))
         self._inbox: deque[i.Event] = deque()
         self._busy = False
-        version, entries = self._told
-        self._event(i.ServerList(version, i.ListKind.SAVED, entries))
+        version, entries = self._server_list
+        self._handle(i.ServerList(version, i.ListKind.SAVED, entries))
 
     def kill(self) -> None:
-        """It is gone at once, with all that it held."""
+        """End the process at once; its calls and connections are lost."""
         self.alive = False
-        for call in list(self.open.values()):
-            if call.out is not None:
-                call.out.give_up()
-            if not call.gone:
-                call.caller.answered("lost", 0.0)
-        self.open.clear()
-        for name, count in self.held.items():
-            server = self.world.find(name)
+        for call in list(self.pending.values()):
+            if call.setup is not None:
+                call.setup.give_up()
+            if not call.abandoned:
+                call.caller.rejected("lost", 0.0)
+        self.pending.clear()
+        for name, count in self.connections.items():
+            server = self.fleet.find(name)
             if server is not None:
-                server.leave(count)
-        self.held.clear()
+                server.disconnect(count)
+        self.connections.clear()
 
-    def news(self, version: int, entries: tuple[i.ServerEntry, ...]) -> None:
-        """The list has changed; it is remembered also by one that is dead, as its place is told later."""
-        old = {entry.server: entry for entry in self._told[1]}
+    def list_changed(self, version: int, entries: tuple[i.ServerEntry, ...]) -> None:
+        """Apply a change of the server list; an instance that is not running ignores it."""
+        old = {entry.server: entry for entry in self._server_list[1]}
         for entry in entries:
             old[entry.server] = entry
-        whole = tuple(entry for entry in old.values() if entry.state is not i.ServerState.REMOVED)
+        full_list = tuple(entry for entry in old.values() if entry.state is not i.ServerState.REMOVED)
         if self.alive:
-            self._told = (version, whole)
-            self._event(i.ServerList(version, i.ListKind.CHANGES, entries))
-
-    def offer(self, caller: Try, kind: str, number: str, first_choice: int, wait_s: float) -> int:
-        """A caller's try; its number here."""
-        name = self._next
-        self._next += 1
-        self.open[name] = Open(caller)
-        by = self.world.now_us + round(wait_s * 1e6)
-        self._event(i.NewCall(name, kind, None, number, first_choice, by, False, False))
+            self._server_list = (version, full_list)
+            self._handle(i.ServerList(version, i.ListKind.CHANGES, entries))
+
+    def offer(self, caller: CallerInterface, kind: str, number: str, first_choice: int, wait_s: float) -> int:
+        """Offer a try of a caller; returns its call number."""
+        name = self._next_number
+        self._next_number += 1
+        self.pending[name] = PendingCall(caller)
+        deadline_us = self.fleet.now_us + round(wait_s * 1e6)
+        self._handle(i.NewCall(name, kind, None, number, first_choice, deadline_us, False, False))
         return name
 
-    def leave(self, name: int) -> None:
-        """The caller waits no more."""
-        call = self.open.get(name)
-        if call is None or call.gone:
+    def abandon(self, name: int) -> None:
+        """Handle a caller that abandons its try."""
+        call = self.pending.get(name)
+        if call is None or call.abandoned:
             return
-        call.gone = True
-        self._event(i.CallerAbandoned(name))
-        if call.out is not None:
-            self._end(name, call, call.attempts - 1, i.Outcome.CANCELLED, i.Cause.NONE)
-        self.open.pop(name, None)
+        call.abandoned = True
+        self._handle(i.CallerAbandoned(name))
+        if call.setup is not None:
+            self._abort_attempt(name, call, call.attempts - 1, i.Outcome.CANCELLED, i.Cause.NONE)
+        self.pending.pop(name, None)
 
     # --- the module ---
 
-    def _event(self, event: i.Event) -> None:
+    def _handle(self, event: i.Event) -> None:
         self._inbox.append(event)
         if self._busy:
             return
         self._busy = True
         while self._inbox:
-            for action in self.module.handle(self.world.now_us, self._inbox.popleft()):
-                self._do(action)
+            for action in self.module.handle(self.fleet.now_us, self._inbox.popleft()):
+                self._execute(action)
         self._busy = False
 
-    def _do(self, action: i.Action) -> None:
+    def _execute(self, action: i.Action) -> None:
         match action:
             case i.SendSetup(name, server, give_up_us):
                 self._send(name, server, give_up_us)
             case i.CancelAttempt(name, attempt):
-                call = self.open.get(name)
-                if call is not None and call.out is not None and call.attempts - 1 == attempt:
-                    self._end(name, call, attempt, i.Outcome.CANCELLED, i.Cause.NONE)
+                call = self.pending.get(name)
+                if call is not None and call.setup is not None and call.attempts - 1 == attempt:
+                    self._abort_attempt(name, call, attempt, i.Outcome.CANCELLED, i.Cause.NONE)
             case i.RefuseCall(name, pause_us):
                 self._answer(name, "refused", pause_us / 1e6)
             case i.FailCall(name):
                 self._answer(name, "failed", 0.0)
             case i.SetTimer(name, after_us):
-                life = self._life
-                self.world.after(after_us / 1e6, lambda: self._timer(life, name))
+                run = self._run
+                self.fleet.call_later(after_us / 1e6, lambda: self._timer(run, name))
             case _:
                 pass
 
-    def _timer(self, life: int, name: str) -> None:
-        if self.alive and life == self._life:
-            self._event(i.TimerFired(name))
+    def _timer(self, run: int, name: str) -> None:
+        if self.alive and run == self._run:
+            self._handle(i.TimerFired(name))
 
     def _answer(self, name: int, how: str, pause_s: float) -> None:
-        call = self.open.pop(name, None)
-        if call is not None and not call.gone:
-            call.caller.answered(how, pause_s)
+        call = self.pending.pop(name, None)
+        if call is not None and not call.abandoned:
+            call.caller.rejected(how, pause_s)
 
     def _send(self, name: int, server_name: str, give_up_us: int) -> None:
-        call = self.open.get(name)
+        call = self.pending.get(name)
         if call is None:
             return
         attempt = call.attempts
         call.attempts += 1
-        server = self.world.find(server_name)
-        call.sent_us = self.world.now_us
-        if server is None or call.gone:
-            self._ended(name, attempt, server_name, i.Outcome.NOT_SENT, i.Cause.NONE, i.LoadReport())
+        server = self.fleet.find(server_name)
+        call.sent_us = self.fleet.now_us
+        if server is None or call.abandoned:
+            self._attempt_ended(name, attempt, server_name, i.Outcome.NOT_SENT, i.Cause.NONE, i.LoadReport())
             return
-        life = self._life
-        way_s = self.world.way_s(self, server)
+        run = self._run
+        latency_s = self.fleet.latency_s(self, server)
         call.server = server
-        if not self._lane(server):
-            self._ended(name, attempt, server_name, i.Outcome.UNREACHABLE, i.Cause.NONE, i.LoadReport())
+        if not self._acquire_connection(server):
+            self._attempt_ended(
+                name, attempt, server_name, i.Outcome.UNREACHABLE, i.Cause.NONE, i.LoadReport()
+            )
             return
-        self.world.sent(self, server)
+        self.fleet.record_sent(self, server)
         holder: list[SetUp | None] = [None]
 
-        def back(outcome: i.Outcome | None, cause: i.Cause) -> None:
-            home = self.world.way_s(self, server)
-            if home is not None:
-                self.world.after(home, lambda: self._heard(life, name, attempt, server, outcome, cause))
+        def respond(outcome: i.Outcome | None, cause: i.Cause) -> None:
+            return_latency_s = self.fleet.latency_s(self, server)
+            if return_latency_s is not None:
+                self.fleet.call_later(
+                    return_latency_s, lambda: self._on_response(run, name, attempt, server, outcome, cause)
+                )
 
-        def come() -> None:
+        def deliver() -> None:
             if server.down:
-                back(i.Outcome.UNREACHABLE, i.Cause.NONE)
+                respond(i.Outcome.UNREACHABLE, i.Cause.NONE)
                 return
-            made = server.set_up(back)
-            if holder[0] is None or not holder[0].over:
-                holder[0] = made
-
-        waiting = _Waiting(holder)
-        call.out = waiting
-        if way_s is not None:
-            self.world.after(way_s, lambda: None if waiting.over else come())
-        self.world.after(give_up_us / 1e6, lambda: self._expire(life, name, attempt))
-
-    def _lane(self, server: Processor) -> bool:
-        """A connection for a set-up: one that is free, else a new one, else one that others use as well."""
-        busy = sum(call.out is not None and call.server is server for call in self.open.values())
-        held = self.held.get(server.name, 0)
-        most, in_all = self.world.lanes
-        if busy >= held and held < max(1, min(most, in_all // max(1, len(self.held) + 1))):
+            delivered = server.set_up(respond)
+            if holder[0] is None or not holder[0].finished:
+                holder[0] = delivered
+
+        delayed = _DelayedSetUp(holder)
+        call.setup = delayed
+        if latency_s is not None:
+            self.fleet.call_later(latency_s, lambda: None if delayed.finished else deliver())
+        self.fleet.call_later(give_up_us / 1e6, lambda: self._expire(run, name, attempt))
+
+    def _acquire_connection(self, server: Processor) -> bool:
+        """Find a connection for a set-up: a free one, else a new one, else a shared one."""
+        busy = sum(call.setup is not None and call.server is server for call in self.pending.values())
+        held = self.connections.get(server.name, 0)
+        per_server, total = self.fleet.connection_limits
+        if busy >= held and held < max(1, min(per_server, total // max(1, len(self.connections) + 1))):
             if server.connect():
-                self.held[server.name] = held + 1
+                self.connections[server.name] = held + 1
                 self.opened += 1
                 if not held:
-                    self.hear(server)  # the state of its lines comes first on a new connection
+                    self.report_received(server)  # a new connection begins with a report of free lines
             elif not held:
                 return False
         return True
 
-    def _heard(
-        self, life: int, name: int, attempt: int, server: Processor, outcome: i.Outcome | None, cause: i.Cause
+    def _on_response(
+        self, run: int, name: int, attempt: int, server: Processor, outcome: i.Outcome | None, cause: i.Cause
     ) -> None:
-        call = self.open.get(name)
-        if life != self._life or not self.alive or call is None or call.attempts - 1 != attempt:
+        call = self.pending.get(name)
+        if run != self._run or not self.alive or call is None or call.attempts - 1 != attempt:
             return
-        if call.out is None:
+        if call.setup is None:
             return
-        call.out = None
+        call.setup = None
         if outcome is not None:
-            self._ended(name, attempt, server.name, outcome, cause, server.report, call)
+            self._attempt_ended(name, attempt, server.name, outcome, cause, server.report, call)
             return
-        self.open.pop(name, None)
-        delay = self.world.now_us - call.sent_us
-        self._event(i.CallEstablished(name, attempt, server.name, delay))
-        call.caller.stands(server)
-
-    def _expire(self, life: int, name: int, attempt: int) -> None:
-        call = self.open.get(name)
-        if life == self._life and call is not None and call.out is not None and call.attempts - 1 == attempt:
-            self._end(name, call, attempt, i.Outcome.TIMED_OUT, i.Cause.NONE)
-
-    def _end(self, name: int, call: Open, attempt: int, outcome: i.Outcome, cause: i.Cause) -> None:
-        if call.out is not None:
-            call.out.give_up()
-            call.out = None
+        self.pending.pop(name, None)
+        delay = self.fleet.now_us - call.sent_us
+        self._handle(i.CallEstablished(name, attempt, server.name, delay))
+        call.caller.established(server)
+
+    def _expire(self, run: int, name: int, attempt: int) -> None:
+        call = self.pending.get(name)
+        if run == self._run and call is not None and call.setup is not None and call.attempts - 1 == attempt:
+            self._abort_attempt(name, call, attempt, i.Outcome.TIMED_OUT, i.Cause.NONE)
+
+    def _abort_attempt(
+        self, name: int, call: PendingCall, attempt: int, outcome: i.Outcome, cause: i.Cause
+    ) -> None:
+        if call.setup is not None:
+            call.setup.give_up()
+            call.setup = None
         server = call.server.name if call.server is not None else ""
-        self._ended(name, attempt, server, outcome, cause, i.LoadReport(), call)
+        self._attempt_ended(name, attempt, server, outcome, cause, i.LoadReport(), call)
 
-    def _ended(
+    def _attempt_ended(
         self, name: int, attempt: int, server: str, outcome: i.Outcome, cause: i.Cause, load: i.LoadReport,
-        call: Open | None = None,
+        call: PendingCall | None = None,
     ) -> None:  # fmt: skip
-        sent = call.sent_us if call is not None else self.world.now_us
-        closed = call is not None and call.gone
-        delay = self.world.now_us - sent
-        self._event(i.AttemptEnded(name, attempt, server, outcome, closed, delay, cause, load))
+        sent = call.sent_us if call is not None else self.fleet.now_us
+        closed = call is not None and call.abandoned
+        delay = self.fleet.now_us - sent
+        self._handle(i.AttemptEnded(name, attempt, server, outcome, closed, delay, cause, load))
 
-    def hear(self, server: Processor) -> None:
-        """A call server tells its free lines, where a connection to it is open."""
-        if self.alive and server.name in self.held:
-            self._event(i.LoadReports(((server.name, server.report),)))
+    def report_received(self, server: Processor) -> None:
+        """Handle a report of free lines, received only over an open connection."""
+        if self.alive and server.name in self.connections:
+            self._handle(i.LoadReports(((server.name, server.report),)))
 
 
-class _Waiting(SetUp):
-    """A set-up that is on its way, then at its server; giving it up on the way keeps it from being taken."""
+class _DelayedSetUp(SetUp):
+    """A set-up in transit or at its server; one given up in transit is never delivered."""
 
     def __init__(self, holder: list[SetUp | None]) -> None:
         self._holder = holder
-        self.over = False
+        self.finished = False
 
     def give_up(self) -> None:
-        """Its sender waits no more."""
-        self.over = True
+        """Cancel the set-up."""
+        self.finished = True
         if self._holder[0] is not None:
             self._holder[0].give_up()
--- a/standins/fleet/settings.py
+++ b/standins/fleet/settings.py
@@ -1,4 +1,4 @@
-"""How large a fleet is, how it is called, and how its call servers are built. Spans are seconds."""
+"""Settings of a fleet: its size, its callers and its call servers. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from reedmount import interface as i
 
-Span = tuple[float, float]  # drawn evenly between these
+Range = tuple[float, float]  # drawn uniformly
 
 
-def sigma(variation: float) -> float:
-    """Of a lognormal law with that coefficient of variation."""
+def lognormal_sigma(variation: float) -> float:
+    """Return sigma of a lognormal distribution with this coefficient of variation."""
     return math.sqrt(math.log(1 + variation**2))
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A class of calls, and how much of the traffic it is."""
+    """A class of calls and its share of the traffic."""
 
     name: str
     share: float
     worth: float
-    aim_s: float
+    target_s: float
     hold_s: float
 
 
@@ -35,62 +35,62 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """What a call server is like. Its processor has one line; each part of a call is work in it."""
+    """Model of a call server. Its processor has one queue; each step of a call is work in it."""
 
     set_up_s: float = 0.012
-    answer: float = 0.35  # of the work of a set-up, and as much again for the release
-    refusal: float = 0.2
-    repeat: float = 0.45
-    full_s: float = 2.5  # of waiting, past which set-ups are turned away
+    answer_share: float = 0.35  # share of the work of a set-up, for the answer and again for the release
+    refusal_share: float = 0.2
+    retransmit_share: float = 0.45
+    max_wait_s: float = 2.5  # waiting time above which set-ups are refused
     resend_gap_s: float = 0.5
-    connections: int = 600  # that it holds; more are refused
+    connections: int = 600  # limit; more are refused
     cold_s: float = 14.0
-    cold_start: float = 0.3  # of what it can do warm
+    cold_start: float = 0.3  # share of the warm capacity
     fall_multiple: float = 2.5
     fall_span_s: float = 1.0
-    told_s: float = 1.0  # how often it tells its free lines on open connections
-    uneven: float = 0.7  # coefficient of variation of their sizes
-    lines: float = 0.95  # room for standing calls, over what it sets up in the mean time that a call stands
-    lines_uneven: float = 0.5
+    report_interval_s: float = 1.0  # interval of reports of free lines on open connections
+    variation: float = 0.7  # coefficient of variation of the sizes
+    lines: float = 0.95  # lines, relative to the set-ups it can do within the mean holding time
+    lines_variation: float = 0.5
 
     @property
     def per_call_s(self) -> float:
-        """The work of a call that stands, from its set-up to its release."""
-        return self.set_up_s * (1 + 2 * self.answer)
+        """The work of an established call, from its set-up to its release."""
+        return self.set_up_s * (1 + 2 * self.answer_share)
 
 
 @dataclass(frozen=True, slots=True)
 class Callers:
-    """What callers do: they come thin and unevenly, give a try up, and dial again."""
+    """Behaviour of callers: uneven arrivals, abandoned tries and redials."""
 
-    load: float = 0.92  # of what all call servers can do
-    uneven: float = 0.8  # coefficient of variation of the instances' rates
-    favours: float = 0.5  # and of the call servers' shares of first choices
-    drift_s: float = 14.0  # from one spread of first choices to the next
+    load: float = 0.92  # share of the capacity of all call servers
+    variation: float = 0.8  # coefficient of variation of the instances' rates
+    choice_variation: float = 0.5  # coefficient of variation of the call servers' shares of first choices
+    drift_s: float = 14.0  # interval between changes of first choices
     give_up_s: float = 9.0
-    try_share: float = 0.35  # of that a try waits
-    redials: Span = (2.0, 3.99)
-    back_s: Span = (0.57, 1.3)
-    honour: float = 0.6  # of callers come back when they were told to
-    burst: tuple[float, float, float] = (0.0, 0.0, 1.0)  # from, until, and how many times the usual
+    try_share: float = 0.35  # share of give_up_s that one try waits
+    redials: Range = (2.0, 3.99)
+    redial_delay_s: Range = (0.57, 1.3)
+    retry_after_share: float = 0.6  # share of callers that obey a retry-after
+    burst: tuple[float, float, float] = (0.0, 0.0, 1.0)  # begin, end and factor of the arrival rate
 
 
 @dataclass(frozen=True, slots=True)
 class Net:
-    """Ways between zones, how late the list's news come, and what an instance may hold."""
+    """Latencies between zones, delays of list updates, and connection limits of an instance."""
 
     zones: int = 3
-    near_s: Span = (0.0042, 0.007)
-    far_s: Span = (0.0088, 0.024)
-    news_s: Span = (0.5, 5.0)
-    half_later_s: float = 0.0  # by so much later every other instance hears of the list
-    lanes_most: int = 8  # connections of an instance to a call server
-    lanes_in_all: int = 48
+    same_zone_s: Range = (0.0042, 0.007)
+    cross_zone_s: Range = (0.0088, 0.024)
+    list_delay_s: Range = (0.5, 5.0)
+    half_extra_delay_s: float = 0.0  # additional delay of list updates at every other instance
+    max_connections_per_server: int = 8  # of an instance to one call server
+    max_connections: int = 48
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """One day: sizes, traffic and troubles. A trouble is a name and its figures, see ``faults``."""
+    """One day: sizes, traffic and faults. Each fault is a name, a time and a size, see ``faults``."""
 
     name: str = "calm"
     instances: int = 200
@@ -99,18 +99,18 @@
     callers: Callers = field(default_factory=Callers)
     server: Server = field(default_factory=Server)
     net: Net = field(default_factory=Net)
-    troubles: tuple[tuple[str, float, float], ...] = ()  # name, when, size
-    exchange: bool = False  # whether instances that start anew learn from others
+    faults: tuple[tuple[str, float, float], ...] = ()  # name, when, size
+    exchange: bool = False  # whether restarted instances learn from others
 
 
 def module_settings(day: Day) -> i.Settings:
-    """What an instance is told at its start."""
+    """Return the settings of the control module of each instance."""
     server = day.server
     return i.Settings(
         instances=day.instances,
         classes=tuple(
             i.CallClass(
-                kind.name, kind.worth, 0.25, round(kind.aim_s * 1e6), round(day.callers.give_up_s * 1e6),
+                kind.name, kind.worth, 0.25, round(kind.target_s * 1e6), round(day.callers.give_up_s * 1e6),
                 i.Effect.REPEATABLE, None,
             )
             for kind in KINDS
@@ -131,13 +131,13 @@
 
 
 def days() -> dict[str, Day]:
-    """The days that are kept: what is measured in ``docs/MEASURED-FLEET.md``."""
+    """Return the predefined days, measured in ``docs/MEASURED-FLEET.md``."""
     calm = Callers(burst=(12.0, 18.0, 1.5))
     return {
         "calm": Day("calm", callers=calm),
-        "join": Day("join", troubles=(("replace", 10.0, 0.6),)),
-        "herd": Day("herd", troubles=(("deaths", 12.0, 0.7),)),
-        "cut": Day("cut", troubles=(("cut", 12.0, 6.0),)),
-        "zone": Day("zone", troubles=(("zone", 12.0, 5.0),)),
-        "bad": Day("bad", troubles=(("failing", 5.0, 0.125),)),
+        "join": Day("join", faults=(("replace", 10.0, 0.6),)),
+        "herd": Day("herd", faults=(("deaths", 12.0, 0.7),)),
+        "cut": Day("cut", faults=(("cut", 12.0, 6.0),)),
+        "zone": Day("zone", faults=(("zone", 12.0, 5.0),)),
+        "bad": Day("bad", faults=(("failing", 5.0, 0.125),)),
     }
--- a/standins/gossip/__init__.py
+++ b/standins/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Members of a group in virtual time: the real state machines, and a net that loses, delays and cuts."""
+"""Simulation of a group of members in virtual time: the real state machines on a faulty network."""
--- a/standins/gossip/net.py
+++ b/standins/gossip/net.py
@@ -1,4 +1,4 @@
-"""Many members, one clock, one net. The same seed gives the same run."""
+"""Simulation of many members with one clock and one network. A run is reproducible from its seed."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 GROUP = "fleet"
 START = EPOCH + timedelta(days=20_000)
-Span = tuple[float, float]
+Range = tuple[float, float]
 
 
 @dataclass(slots=True)
-class Way:
-    """What happens to datagrams from one member to another."""
+class Link:
+    """Faults of the datagrams from one member to another."""
 
     loss: float = 0.0
-    twice: float = 0.0
-    delay_s: Span = (0.0005, 0.003)
+    duplicate: float = 0.0
+    delay_s: Range = (0.0005, 0.003)
     cut: bool = False
 
 
 @dataclass(slots=True)
-class Seen:
-    """One line of the history: what a member came to think, and when."""
+class HistoryEntry:
+    """A history entry: a state that a member recorded, and when."""
 
     at_s: float
     by: str
@@ -46,24 +46,26 @@
 
 @dataclass(slots=True)
 class Node:
-    """One process: its state machine, and whether it runs, is stopped (SIGSTOP) or is gone."""
+    """One process: its state machine, None if it does not run, and whether it is stopped (SIGSTOP)."""
 
     name: str
     address: Address
     protocol: Protocol | None = None
     stopped: bool = False
-    queue: list[tuple[Address, bytes]] = field(default_factory=list)  # what came while it was stopped
-    lives: int = 0
-    skew: timedelta = timedelta(0)  # of its clock against the others'
+    queue: list[tuple[Address, bytes]] = field(
+        default_factory=list
+    )  # datagrams received while it was stopped
+    runs: int = 0
+    skew: timedelta = timedelta(0)  # offset of its clock
 
 
 class Group:
-    """A fleet of members; ``run`` lets time pass."""
+    """A group of members in virtual time, which ``run`` advances."""
 
-    def __init__(self, count: int, seed: int, timing: Timing | None = None, way: Way | None = None) -> None:
+    def __init__(self, count: int, seed: int, timing: Timing | None = None, link: Link | None = None) -> None:
         self.timing = timing or Timing()
-        self.way = way or Way()
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.link = link or Link()
+        self.links: dict[tuple[str, str], Link] = {}
         self.rng = random.Random(seed)
         self.now_s = 0.0
         names = [f"n{number}" for number in range(count)]
@@ -73,107 +75,111 @@
             for number, name in enumerate(names)
         }
         self._by_address = {node.address: node for node in self.nodes.values()}
-        self.history: list[Seen] = []
+        self.history: list[HistoryEntry] = []
         self.bytes: Counter[str] = Counter()
         self.datagrams: Counter[str] = Counter()
-        self.longest = 0
+        self.max_length = 0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = 0
-        self._wakes: dict[str, float] = {}
-        self.guests: set[str] = set()
+        self._sequence = 0
+        self._wake_times: dict[str, float] = {}
+        self.nonvoters: set[str] = set()
 
     # --- processes ---
 
     def start(self, names: Iterable[str] | None = None, voter_sets: tuple[VoterSet, ...] = ()) -> None:
-        """Start these, or all; they know the addresses of the roster, and nothing else."""
+        """Start the named members, or all; they know only the addresses of the voters."""
         for name in list(self.nodes) if names is None else list(names):
             node = self.nodes[name]
-            node.lives += 1
+            node.runs += 1
             node.stopped, node.queue = False, []
             me = record_of(name, node.address, self.rng.getrandbits(32))
             seed_addresses = tuple(
-                other.address for other in self.nodes.values() if other.name not in self.guests
+                other.address for other in self.nodes.values() if other.name not in self.nonvoters
             )
             node.protocol = Protocol(
                 self.timing, GROUP, me, voter_sets or (self.voters,), seed_addresses, self.rng.getrandbits(32)
             )
             self.carry_out(node, node.protocol.start(self.clock(node)))
 
-    def acquaint(self) -> None:
-        """All that were just started know all others, as after a long quiet time; from the answers to a JOIN,
-        of which none would be long enough to say all at once."""
+    def introduce_all(self) -> None:
+        """Give all newly started members a full view, as after a long idle time.
+
+        The view is sent as several answers to a JOIN, since one does not hold all records.
+        """
         nodes = [node for node in self.nodes.values() if node.protocol is not None]
-        for place, teller in enumerate(nodes):
+        for place, sender in enumerate(nodes):
             records = [node.protocol.me for node in nodes if node.protocol is not None]
             node = nodes[place - 1]
-            while records and teller.protocol is not None and node.protocol is not None:
-                page = Message(Kind.STATE, 0, teller.protocol.me, bytes(8))
+            while records and sender.protocol is not None and node.protocol is not None:
+                page = Message(Kind.STATE, 0, sender.protocol.me, bytes(8))
                 data, sent = write(group_of(GROUP), page, records)
                 records = records[sent:]
-                self.carry_out(node, node.protocol.heard(self.clock(node), teller.address, data))
+                self.carry_out(node, node.protocol.heard(self.clock(node), sender.address, data))
 
     def add(self, name: str, address: Address) -> Node:
-        """One that no roster names."""
+        """Add a member that is in no voter set."""
         node = self.nodes[name] = self._by_address[address] = Node(name, address)
-        self.guests.add(name)
+        self.nonvoters.add(name)
         return node
 
     def kill(self, *names: str) -> None:
-        """They are gone at once."""
+        """Kill the processes at once."""
         for name in names:
             self.nodes[name].protocol = None
 
     def stop(self, name: str) -> None:
-        """SIGSTOP: what comes waits, and no time passes for it that it knows of."""
+        """Stop a process as SIGSTOP does: datagrams are queued, and its timers do not fire."""
         self.nodes[name].stopped = True
 
     def resume(self, name: str) -> None:
-        """SIGCONT: it reads what waited, then finds its timers late."""
+        """Resume a process as SIGCONT does: it reads the queued datagrams, then runs its overdue timers."""
         node = self.nodes[name]
         node.stopped = False
         waiting, node.queue = node.queue, []
-        for source, data in waiting[-200:]:  # as much as a socket's buffer holds
-            self._hear(node, source, data)
+        for source, data in waiting[-200:]:  # what a socket buffer holds
+            self._deliver(node, source, data)
         self._wake(node)
 
     def leave(self, name: str) -> None:
-        """It goes, and says so."""
+        """Make a member leave the group."""
         node = self.nodes[name]
         if node.protocol is not None:
             self.carry_out(node, node.protocol.leave(self.clock(node)))
 
     def clock(self, node: Node) -> datetime:
-        """The time as this one has it."""
+        """Return the time by the clock of a node."""
         return START + timedelta(seconds=self.now_s) + node.skew
 
-    # --- the net ---
+    # --- network ---
 
-    def cut(self, one: Collection[str], other: Collection[str], both: bool = True) -> None:
-        """Nothing gets from the ones to the others, nor (``both``) back."""
-        for a in one:
-            for b in other:
-                self.ways[a, b] = Way(cut=True)
+    def cut(self, first: Collection[str], second: Collection[str], both: bool = True) -> None:
+        """Drop all datagrams from the first group to the second, and with ``both`` also back."""
+        for a in first:
+            for b in second:
+                self.links[a, b] = Link(cut=True)
                 if both:
-                    self.ways[b, a] = Way(cut=True)
+                    self.links[b, a] = Link(cut=True)
 
     def heal(self) -> None:
-        """All ways are as at first."""
-        self.ways.clear()
+        """Reset all links."""
+        self.links.clear()
 
     def _send(self, node: Node, send: Send) -> None:
         self.bytes[node.name] += len(send.data)
         self.datagrams[node.name] += 1
-        self.longest = max(self.longest, len(send.data))
+        self.max_length = max(self.max_length, len(send.data))
         to = self._by_address.get(send.to)
         if to is None:
             return
-        way = self.ways.get((node.name, to.name), self.way)
-        if way.cut or self.rng.random() < way.loss:
+        link = self.links.get((node.name, to.name), self.link)
+        if link.cut or self.rng.random() < link.loss:
             return
-        for _ in range(1 + (self.rng.random() < way.twice)):
-            self.after(self.rng.uniform(*way.delay_s), lambda: self._hear(to, node.address, send.data))
+        for _ in range(1 + (self.rng.random() < link.duplicate)):
+            self.call_later(
+                self.rng.uniform(*link.delay_s), lambda: self._deliver(to, node.address, send.data)
+            )
 
-    def _hear(self, node: Node, source: Address, data: bytes) -> None:
+    def _deliver(self, node: Node, source: Address, data: bytes) -> None:
         if node.protocol is None:
             return
         if node.stopped:
@@ -183,14 +189,14 @@
 
     # --- time ---
 
-    def after(self, span_s: float, work: Callable[[], None]) -> None:
-        """Do it after a span."""
-        self._order += 1
-        heapq.heappush(self._heap, (self.now_s + span_s, self._order, work))
+    def call_later(self, duration_s: float, work: Callable[[], None]) -> None:
+        """Run a function after a delay."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (self.now_s + duration_s, self._sequence, work))
 
-    def run(self, span_s: float, done: Callable[[], bool] | None = None) -> bool:
-        """Let time pass, until something holds at most; whether it does."""
-        end = self.now_s + span_s
+    def run(self, duration_s: float, done: Callable[[], bool] | None = None) -> bool:
+        """Run for a time span, or until ``done`` holds; whether it held."""
+        end = self.now_s + duration_s
         while self._heap and self._heap[0][0] <= end:
             self.now_s, _, work = heapq.heappop(self._heap)
             work()
@@ -200,7 +206,7 @@
         return done is not None and done()
 
     def carry_out(self, node: Node, outputs: list[Output]) -> None:
-        """Send, and write down, what one member wants."""
+        """Execute the outputs of a member: send messages and record changes."""
         for output in outputs:
             match output:
                 case Send():
@@ -212,54 +218,54 @@
                     )
                     if changed:
                         state = None if new is None else new.state
-                        self.history.append(Seen(self.now_s, node.name, output.name, state))
+                        self.history.append(HistoryEntry(self.now_s, node.name, output.name, state))
                 case Stood(_, standing):
-                    self.history.append(Seen(self.now_s, node.name, node.name, standing))
-        self._set(node)
+                    self.history.append(HistoryEntry(self.now_s, node.name, node.name, standing))
+        self._schedule_wake(node)
 
-    def _set(self, node: Node) -> None:
-        """Have it woken when it wants to be."""
+    def _schedule_wake(self, node: Node) -> None:
+        """Schedule the next wake-up of a node."""
         if node.protocol is None or (due := node.protocol.due_at) is None:
             return
         at_s = max(self.now_s, (due - node.skew - START).total_seconds())
-        if at_s < self._wakes.get(node.name, float("inf")) or self._wakes[node.name] < self.now_s:
-            self._wakes[node.name] = at_s
-            self.after(at_s - self.now_s, lambda: self._wake_at(node, at_s))
+        if at_s < self._wake_times.get(node.name, float("inf")) or self._wake_times[node.name] < self.now_s:
+            self._wake_times[node.name] = at_s
+            self.call_later(at_s - self.now_s, lambda: self._wake_at(node, at_s))
 
     def _wake_at(self, node: Node, at_s: float) -> None:
-        if self._wakes.get(node.name) == at_s:
-            del self._wakes[node.name]
+        if self._wake_times.get(node.name) == at_s:
+            del self._wake_times[node.name]
             self._wake(node)
 
     def _wake(self, node: Node) -> None:
         if node.protocol is not None and not node.stopped:
             self.carry_out(node, node.protocol.wake(self.clock(node)))
 
-    # --- what holds ---
+    # --- observed state ---
 
     def running(self) -> list[Node]:
-        """Those whose process is there and goes on."""
+        """Return the nodes whose process runs and is not stopped."""
         return [node for node in self.nodes.values() if node.protocol is not None and not node.stopped]
 
     def state(self, by: str, about: str) -> State | None:
-        """What one thinks of another."""
+        """Return the state of a member in the view of another."""
         protocol = self.nodes[by].protocol
         record = None if protocol is None else protocol.view.get(about)
         return None if record is None else record.state
 
     def agreed(self) -> bool:
-        """Whether all that run have the same table, with each that runs alive in it."""
+        """Whether the views of all running members are equal and list exactly these as present."""
         tables = [node.protocol for node in self.running() if node.protocol is not None]
         names = {node.name for node in self.running()}
         return len({table.view.digest for table in tables}) == 1 and all(
             {record.name for record in table.view if record.there} == names for table in tables[:1]
         )
 
-    def busy(self) -> int:
-        """How much all of them have still to pass on."""
+    def pending_updates(self) -> int:
+        """Return how many updates are still to be disseminated, over all members."""
         return sum(node.protocol.news for node in self.running() if node.protocol is not None)
 
     def standings(self, names: Iterable[str] | None = None) -> set[Standing]:
-        """The standings of these, or of all that run."""
-        wanted = set(self.nodes) if names is None else set(names)
-        return {node.protocol.standing for node in self.running() if node.name in wanted and node.protocol}
+        """Return the quorum states of the named members, or of all that run."""
+        selected = set(self.nodes) if names is None else set(names)
+        return {node.protocol.standing for node in self.running() if node.name in selected and node.protocol}
--- a/standins/mutate.py
+++ b/standins/mutate.py
@@ -1,4 +1,4 @@
-"""Mutations of bytes that were well formed: what parsers meet when a peer is broken or hostile. Seeded."""
+"""Seeded mutations of well-formed messages, to test parsers against broken or hostile peers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     b"\t", b"-1", b"0", b"2147483648", b"9" * 20, b"NaN", b"[::1]", b"[", b"]", b"%", b"\\", b"@",
     "é".encode(), "٣".encode(), "²".encode(), b"{", b"}", b"null", b"true", b"Via", b"tag", b"SIP/2.0",
 )  # fmt: skip
-MOST = 6  # mutations of one message
+MAX_MUTATIONS = 6  # of one message
 
 
 def mutated(rng: random.Random, seeds: Sequence[bytes], count: int) -> Iterator[bytes]:
-    """So many messages, each one of the seeds with one to six mutations, mostly few."""
+    """Yield ``count`` messages, each a seed with one to six mutations, mostly few."""
     for _ in range(count):
         data = bytearray(rng.choice(seeds))
-        for _ in range(min(MOST, 1 + int(rng.expovariate(1.0)))):
+        for _ in range(min(MAX_MUTATIONS, 1 + int(rng.expovariate(1.0)))):
             _mutate(rng, data, seeds)
         yield bytes(data)
 
--- a/tests/test_member_reports.py
+++ b/tests/test_member_reports.py
@@ -15,7 +15,7 @@
 from reedmount.pool.claims import Claim, ClaimState
 from reedmount.pool.pool import Change, Pool
 from reedmount.pool.rule import Rule
-from standins.gossip.net import START, Group, Way
+from standins.gossip.net import START, Group, Link
 
 S, MS = timedelta(seconds=1), timedelta(milliseconds=1)
 SERVERS = [f"192.0.2.{number}:5060" for number in range(6)]
@@ -157,7 +157,7 @@
 
 
 def test_a_group_tells_all_of_a_drain_and_a_newcomer_of_a_start_while_datagrams_get_lost() -> None:
-    group = Group(16, 5, way=Way(loss=0.2, delay_s=(0.004, 0.024)))
+    group = Group(16, 5, link=Link(loss=0.2, delay_s=(0.004, 0.024)))
     group.start()
     group.run(8, group.agreed)
     group.run(2)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -26,7 +26,7 @@
 from reedmount.members.timer_queue import Dues
 from reedmount.members.view import MAX_RECORDS, View
 from reedmount.members.wire import HEAD, MAX_DATAGRAM, Kind, Message, WireError, group_of, read, write
-from standins.gossip.net import START, Group, Way
+from standins.gossip.net import START, Group, Link
 
 GROUP = group_of("fleet")
 S = timedelta(seconds=1)
@@ -170,7 +170,7 @@
 
 def test_few_suspect_each_other_where_a_third_of_the_datagrams_is_lost() -> None:
     """At 30% loss a probe that is asked once more fails in one of nine cases, twice more in one of forty."""
-    group = Group(24, 3, way=Way(loss=0.3, delay_s=(0.004, 0.024)))
+    group = Group(24, 3, link=Link(loss=0.3, delay_s=(0.004, 0.024)))
     group.start()
     group.run(10)
     before = COUNTERS["members.suspected"]
@@ -269,8 +269,8 @@
 # --- a group ---
 
 
-def started(count: int = 8, seed: int = 1, **way: object) -> Group:
-    group = Group(count, seed, way=Way(**way))  # type: ignore[arg-type]
+def started(count: int = 8, seed: int = 1, **link: object) -> Group:
+    group = Group(count, seed, link=Link(**link))  # type: ignore[arg-type]
     group.start()
     assert group.run(30, group.agreed)
     group.run(10)
@@ -428,7 +428,7 @@
     group.run(1)
     group.kill("g1")
     group.run(60)
-    group._hear(group.nodes["n0"], guest.address, late)
+    group._deliver(group.nodes["n0"], guest.address, late)
     group.run(5)
     assert {group.state(f"n{n}", "g1") for n in range(8)} == {State.LEFT}
 
@@ -453,7 +453,7 @@
 
 @pytest.mark.parametrize("loss", [0.1, 0.3])
 def test_loss_on_every_link_kills_nobody(loss: float) -> None:
-    group = Group(8, 3, way=Way(loss=loss, twice=0.1, delay_s=(0.004, 0.032)))
+    group = Group(8, 3, link=Link(loss=loss, duplicate=0.1, delay_s=(0.004, 0.032)))
     group.start()
     group.run(180)
     assert not deaths(group, 0)
@@ -516,7 +516,7 @@
         before = sum(group.bytes.values())
         group.run(10)
         loads.append((sum(group.bytes.values()) - before) / count / 10)
-        assert group.longest <= MAX_DATAGRAM
+        assert group.max_length <= MAX_DATAGRAM
     assert loads[1] < 1.2 * loads[0] < 400
 
 
@@ -562,7 +562,7 @@
         for node in getattr(self, "group", Group(0, 0)).running():
             assert node.protocol is not None
             for record in node.protocol.view:
-                key = (node.name, record.name, node.lives)
+                key = (node.name, record.name, node.runs)
                 assert record.incarnation >= self.incarnations.get(key, 0)
                 self.incarnations[key] = record.incarnation
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -73,13 +73,13 @@
     group.run(20)
     assert not group.problems
     placed = [call for call in group.calls.values() if Phase.STANDS in call.seqs]
-    assert len(placed) > 400 and sum(call.stands for call in placed) >= len(placed) - 5
+    assert len(placed) > 400 and sum(call.established for call in placed) >= len(placed) - 5
     group.rate = 0.0
     group.run(20)
     left = [len(owner.copy) for member in group.members.values() if member.replicas
             for owner in member.replicas.owners.values()]  # fmt: skip
     assert sum(left) < 10, left
-    assert group.orphans() == []
+    assert group.unreleased_calls() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -90,7 +90,7 @@
         name = group.rng.choice(group.names)
         group.kill(name)
         group.run(7.5)
-        assert group.orphans() == [], "8 s after its death"
+        assert group.unreleased_calls() == [], "8 s after its death"
         group.start(name)
         group.run(2)
     assert not group.problems
@@ -106,13 +106,13 @@
     group.run(9)
     group.heal()
     group.run(4)
-    assert not group.problems and group.orphans() == []
+    assert not group.problems and group.unreleased_calls() == []
     member = group.members[name]
     assert member.replicas is not None and member.replicas.shard.epoch == 1
     lasting = [call for call in group.calls.values() if len(call.released) > 1]
     assert not lasting, "released twice"
     group.run(5)
-    fresh = [call for call in group.calls.values() if call.owner == name and call.stands]
+    fresh = [call for call in group.calls.values() if call.owner == name and call.established]
     assert any(call.seqs[Phase.STANDS][0].epoch == 1 for call in fresh), "promises are made again"
 
 
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -88,7 +88,7 @@
     assert [(t.priority, t.weight, t.port, t.host) for t in answer.targets] == [
         (10, 60, 5070, "zurich.calls.example."), (20, 40, 5071, "geneva.calls.example.")]  # fmt: skip
     assert answer.ttl == 30 and answer.extra[ZURICH].addresses == ("127.0.0.2",)
-    assert net.servers[0].asked[0].size == 1232
+    assert net.servers[0].queries[0].size == 1232
     assert net.lookup_good(ZURICH).addresses == ("127.0.0.2",), (
         "cached from the additional section, not queried"
     )
@@ -186,13 +186,13 @@
         pair.lookup_good(fresh=True)
         pair.run(S, 50 * MS)
     backoffs = (pair.seconds - started) / (MAX_BACKOFF_WITH_OTHERS.total_seconds() * JITTER[0])
-    assert len(dead.asked) <= 2 * backoffs + 4 and len(alive.asked) >= 300
+    assert len(dead.queries) <= 2 * backoffs + 4 and len(alive.queries) >= 300
     dead.plan("good")
-    before = len(dead.asked)
+    before = len(dead.queries)
     for _ in range(90):
         pair.lookup_good(fresh=True)
         pair.run(S, 50 * MS)
-    assert len(dead.asked) > before and not pair.resolver.health.all[dead.address].is_dead
+    assert len(dead.queries) > before and not pair.resolver.health.all[dead.address].is_dead
 
 
 def test_all_name_servers_dead_fails_early_and_the_first_to_recover_is_found(pair: Net) -> None:
@@ -225,8 +225,8 @@
 def test_a_cname_chain_is_followed_and_has_the_lowest_ttl(net: Net) -> None:
     server = net.servers[0]
     for step in range(5):
-        server.put(f"alias{step}", 30 - step, "CNAME", f"alias{step + 1}.calls.example.")
-    server.put("alias5", 60, "CNAME", "zurich.calls.example.")
+        server.set_records(f"alias{step}", 30 - step, "CNAME", f"alias{step + 1}.calls.example.")
+    server.set_records("alias5", 60, "CNAME", "zurich.calls.example.")
     answer = net.lookup_good(Question("alias0.calls.example.", dns.rdatatype.A))
     assert answer.addresses == ("127.0.0.2",) and answer.ttl == 26
 
@@ -234,7 +234,7 @@
 def test_query_ids_are_not_predictable(net: Net) -> None:
     for _ in range(60):
         net.lookup_good(fresh=True)
-    ids = [asked.message.id for asked in net.servers[0].asked]
+    ids = [asked.message.id for asked in net.servers[0].queries]
     steps = {(b - a) % 65536 for a, b in zip(ids, ids[1:], strict=False)}
     assert len(set(ids)) > 55 and len(steps) > 55
 
@@ -283,7 +283,7 @@
     pair.resolver.apply_settings(ResolverSettings((remaining.address,)))
     for _ in range(5):
         pair.lookup_good(fresh=True)
-    assert not removed.asked and len(remaining.asked) == 5
+    assert not removed.queries and len(remaining.queries) == 5
 
 
 def test_the_quickest_name_server_is_picked_and_a_dead_one_gets_a_single_trial() -> None:
@@ -361,7 +361,7 @@
 
 def test_one_of_two_name_servers_recovers_in_time_after_an_outage(pair: Net) -> None:
     pair.lookup_good()
-    failing = max(pair.servers, key=lambda server: len(server.asked))  # the one that is queried first
+    failing = max(pair.servers, key=lambda server: len(server.queries))  # the one that is queried first
     failing.plan("silence")
     for _ in range(10):
         pair.lookup_good(fresh=True)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -126,7 +126,7 @@
     assert site.serving() == known
     assert {entry.rule for entry in site.host.pool.entries.values()} == {Rule.KEPT}
     assert callers.faults() == [] and all(call.final == 200 for call in callers.calls.values())
-    assert not [asked for name in site.names for asked in name.asked[-1:] if asked.over_tcp is None]
+    assert not [asked for name in site.names for asked in name.queries[-1:] if asked.over_tcp is None]
     site.plan("good")
     site.run(60 * S, 50 * MS)
     assert site.serving() == known - {site.servers[0].address}
