--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -74,13 +74,13 @@
     group.run(20)
     assert not group.problems
     answered = [call for call in group.calls.values() if Phase.ESTABLISHED in call.seqs]
-    assert len(answered) > 400 and sum(call.stands for call in answered) >= len(answered) - 5
+    assert len(answered) > 400 and sum(call.established for call in answered) >= len(answered) - 5
     group.rate = 0.0
     group.run(20)
     remaining = [len(owner.replica) for member in group.members.values() if member.replicas
             for owner in member.replicas.owners.values()]  # fmt: skip
     assert sum(remaining) < 10, remaining
-    assert group.orphans() == []
+    assert group.unreleased_calls() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -91,7 +91,7 @@
         name = group.rng.choice(group.names)
         group.kill(name)
         group.run(7.5)
-        assert group.orphans() == [], "not released within 7.5 s of the death"
+        assert group.unreleased_calls() == [], "not released within 7.5 s of the death"
         group.start(name)
         group.run(2)
     assert not group.problems
@@ -107,13 +107,13 @@
     group.run(9)
     group.heal()
     group.run(4)
-    assert not group.problems and group.orphans() == []
+    assert not group.problems and group.unreleased_calls() == []
     member = group.members[name]
     assert member.replicas is not None and member.replicas.shard.epoch == 1
     released_twice = [call for call in group.calls.values() if len(call.released) > 1]
     assert not released_twice, "calls released twice"
     group.run(5)
-    current = [call for call in group.calls.values() if call.owner == name and call.stands]
+    current = [call for call in group.calls.values() if call.owner == name and call.established]
     assert any(call.seqs[Phase.ESTABLISHED][0].epoch == 1 for call in current), (
         "no call became durable in the new epoch"
     )
