--- a/reedmount/__main__.py
+++ b/reedmount/__main__.py
@@ -21,24 +21,24 @@
 
 def catch_signals() -> socket.socket:
     """Deliver signals as bytes on the returned socket, so that none ends the process by default."""
-    inside, outside = socket.socketpair()
-    inside.setblocking(False)
-    outside.setblocking(False)
-    signal.set_wakeup_fd(outside.detach(), warn_on_full_buffer=False)
+    receiver, sender = socket.socketpair()
+    receiver.setblocking(False)
+    sender.setblocking(False)
+    signal.set_wakeup_fd(sender.detach(), warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
         signal.signal(number, lambda *_: None)
-    return inside
+    return receiver
 
 
-def forward_signals(loop: Loop, node: Node, inside: socket.socket) -> None:
+def forward_signals(loop: Loop, node: Node, receiver: socket.socket) -> None:
     """Pass caught signals on to the node."""
 
     def ready(_: int) -> None:
-        for number in inside.recv(64):
+        for number in receiver.recv(64):
             node.handle_signal(number)
 
-    loop.watch(inside.fileno(), READ, ready)
-    loop.retained = inside
+    loop.watch(receiver.fileno(), READ, ready)
+    loop.retained = receiver
 
 
 def _operator_node(loop: Loop, path: Path) -> Node:
--- a/reedmount/core/switch.py
+++ b/reedmount/core/switch.py
@@ -203,7 +203,7 @@
         call.attempt_out = None
         delay = self._time_since_sent(call)
         if call.settled:
-            # The answer crossed the cancel: the caller has gone.
+            # The answer crossed the cancel: the caller had given up.
             COUNTERS.add("answers.late")
             self._post_end(call, i.Outcome.CANCELLED, i.Cause.NONE, NO_REPORT)
             self._drop(call)
@@ -295,7 +295,7 @@
         return True
 
     def server_lost(self, server: str, reason: str, before: datetime | None = None) -> None:
-        """End the calls at a server whose process is gone, or those sent there before a new one started."""
+        """End the calls at a server whose process has ended, or those sent there before a new one started."""
         for call in list(self._by_number.values()):
             sent_before = before is None or call.sent_at is None or call.sent_at < before
             if call.is_established and call.server == server and sent_before:
--- a/reedmount/fronts/call_servers.py
+++ b/reedmount/fronts/call_servers.py
@@ -22,7 +22,17 @@
     Outgoing,
     ServerConnection,
 )
-from reedmount.fronts.thin_protocol import CAUSES, ID, OUTCOMES, bye, cause_of, plain, report_of, sound, test
+from reedmount.fronts.thin_protocol import (
+    CAUSES,
+    ID,
+    OUTCOMES,
+    build_ack_or_cancel,
+    build_bye,
+    build_options_probe,
+    is_valid_description,
+    load_report,
+    release_cause,
+)
 from reedmount.net.connection import Address, EndReason
 from reedmount.net.loop import Loop
 from reedmount.sip.framing import next_message
@@ -109,7 +119,7 @@
 
     def send_probe(self, connection: ServerConnection) -> None:
         """Send a probe; any message received in return shows that the connection works."""
-        connection.queue(Outgoing(test(), "out.server.OPTIONS", is_probe=True))
+        connection.queue(Outgoing(build_options_probe(), "out.server.OPTIONS", is_probe=True))
 
     def close_silent(self, connection: ServerConnection) -> None:
         """Close a connection that alone is silent; the server resends its releases on the next one."""
@@ -286,7 +296,7 @@
             return
         if not attempt.ending:
             attempt.ending = True
-            data = plain("CANCEL", attempt.uri, attempt.setup.name, attempt.via)
+            data = build_ack_or_cancel("CANCEL", attempt.uri, attempt.setup.name, attempt.via)
             connection.queue(
                 Outgoing(data, "out.server.CANCEL", lambda: self._end_attempt(attempt, outcome)),
                 at_front=True,
@@ -321,7 +331,7 @@
         if message is not None:
             note = message.get("X-Diagnosis") or ""
             cause = CAUSES.get(note, i.Cause.OTHER if note else i.Cause.NONE)
-            report = report_of(message)
+            report = load_report(message)
         self._switch.attempt_ended(name, attempt.setup.attempt, outcome, cause, report)
 
     def _free_connection(self, attempt: Attempt) -> None:
@@ -565,7 +575,7 @@
             return
         COUNTERS.add(f"in.server.{message.method if message.method in ('BYE', 'NOTIFY') else 'other'}")
         if message.method == "NOTIFY":
-            report = report_of(message)
+            report = load_report(message)
             if report is not NO_REPORT:
                 self._switch.load_reported(self._entry.server, report)
                 self.established_calls.check_report(report)
@@ -573,8 +583,10 @@
             name = message.call_id
             if ID.fullmatch(name):
                 self.established_calls.pop(name)
-                self._switch.server_released(name, cause_of(message), report_of(message), self._entry.server)
-            if not self._call_servers.has_untold_release(name):
+                self._switch.server_released(
+                    name, release_cause(message), load_report(message), self._entry.server
+                )
+            if not self._call_servers.has_unsent_release(name):
                 connection.transport.send(response(message, 200).encode())
         elif message.method != "ACK":
             connection.transport.send(response(message, 501).encode())
@@ -586,11 +598,11 @@
             self._unexpected_answer(connection, message, name)
             return
         COUNTERS.add(f"in.server.{message.status}")
-        if message.status < 300 and not sound(message.body):
+        if message.status < 300 and not is_valid_description(message.body):
             raise SipError(400, "the description is not lines of text")
         connection.answered.append(name)
         connection.mark_used()
-        connection.transport.send(plain("ACK", attempt.uri, name))
+        connection.transport.send(build_ack_or_cancel("ACK", attempt.uri, name))
         if attempt.sent_at is not None:
             self._answered_sent_at = max(attempt.sent_at, self._answered_sent_at or attempt.sent_at)
         if message.status >= 300:
@@ -615,7 +627,7 @@
         ):  # fmt: skip
             del self._abandoned[name]
             self.loop.trace("answer.late", call=name, server=self._entry.server, lane=connection.number)
-            connection.transport.send(plain("ACK", f"sip:{name}@net", name))
+            connection.transport.send(build_ack_or_cancel("ACK", f"sip:{name}@net", name))
             self._release_late(connection, name)
         else:
             COUNTERS.add("in.server.unasked")
@@ -630,7 +642,7 @@
 
 def _release(name: str, cause: int) -> Outgoing:
     """A release of a call, sent again if its connection ends before it is confirmed."""
-    return Outgoing(bye(name, cause), "out.server.BYE", release=name)
+    return Outgoing(build_bye(name, cause), "out.server.BYE", release=name)
 
 
 def _may_begin(data: bytes) -> bool:
@@ -652,7 +664,7 @@
         self._loop, self._switch = loop, switch
         self.limits, self.sockets = limits, sockets
         # A release that cannot be passed on before the process ends is not confirmed: the server resends it.
-        self.has_untold_release: Callable[[str], bool] = lambda name: False
+        self.has_unsent_release: Callable[[str], bool] = lambda name: False
         self._peers: dict[str, CallServer] = {}
 
     def servers_changed(self, entries: list[ListedServer]) -> None:
--- a/reedmount/fronts/client_connection.py
+++ b/reedmount/fronts/client_connection.py
@@ -14,7 +14,7 @@
 from reedmount.core.clock import whole_millis
 from reedmount.core.ports import NORMAL, Progress
 from reedmount.core.shutdown import Shutdown
-from reedmount.fronts.thin_protocol import bye, cause_of, name_of, parse_offer
+from reedmount.fronts.thin_protocol import build_bye, name_of, parse_offer, release_cause
 from reedmount.net.connection import Connection, EndReason
 from reedmount.sip.framing import next_frame
 from reedmount.sip.message import Message, SipError, parse_head, response
@@ -144,7 +144,7 @@
         self._callers.loop.trace("release.sent", call=name, link=self.number, cause=cause)
         if len(self._byes) > MAX_UNCONFIRMED_RELEASES:
             del self._byes[next(iter(self._byes))]
-        self._write(bye(name, cause), "out.release")
+        self._write(build_bye(name, cause), "out.release")
 
     def awaits_confirmation(self, name: str) -> bool:
         """Whether a release sent here is not confirmed yet."""
@@ -296,7 +296,7 @@
     def _handle_invite(self, message: Message) -> None:
         name = message.call_id
         if name in self.open:
-            # Two set-ups with one Call-ID: their answers could not be told apart.
+            # Two set-ups with one Call-ID: their answers could not be distinguished.
             COUNTERS.add("in.repeated")
             self._reject(name, 400, [])
             self._switch.caller_abandoned(name)
@@ -342,7 +342,7 @@
     def _handle_bye(self, message: Message) -> None:
         name = name_of(message)
         self._callers.call_over(name)
-        cause, known = cause_of(message), self._switch.has_call(name)
+        cause, known = release_cause(message), self._switch.has_call(name)
         there = not known and self._callers.handover_peer.notify("bye", name=name, cause=cause)
         relayed = not known and not there and self._callers.may_relay()
         status = 200 if known or there or relayed else UNKNOWN_CALL
--- a/reedmount/fronts/platform.py
+++ b/reedmount/fronts/platform.py
@@ -200,7 +200,7 @@
         for client in self._unconfirmed.pop(name, ()):
             client.release_confirmed(name)
 
-    def has_untold_release(self, name: str) -> bool:
+    def has_unsent_release(self, name: str) -> bool:
         """Whether a release waits for a connection that this process will not accept any more."""
         return name in self._waiting and self.switch.lifecycle.phase is Phase.ENDING
 
@@ -250,7 +250,7 @@
             self.loop.call_later(CLOSE_ALL_INTERVAL if last else DRAIN_QUIET_PERIOD, self._drain)
 
     @property
-    def all_clients_gone(self) -> bool:
+    def all_clients_disconnected(self) -> bool:
         """Whether no client is connected and none can be about to connect."""
         return not self._clients and self.loop.clock.now() - self._changed_at >= RECONNECT_WAIT
 
--- a/reedmount/fronts/sip.py
+++ b/reedmount/fronts/sip.py
@@ -13,7 +13,7 @@
 from reedmount.core.lifecycle import Need
 from reedmount.core.ports import NORMAL, Offer, Progress, Setup
 from reedmount.core.switch import Switch
-from reedmount.fronts.thin_protocol import cause_of
+from reedmount.fronts.thin_protocol import release_cause
 from reedmount.net.connection import Address
 from reedmount.net.loop import Loop
 from reedmount.sip import dialog as dialogs
@@ -396,10 +396,10 @@
             transaction.respond(response(message, 200))
             if leg is not None:
                 leg.dialog_ended()
-                self.switch.caller_released(leg.name, cause_of(message))
+                self.switch.caller_released(leg.name, release_cause(message))
             elif server_leg is not None:
                 server_leg.dialog_ended()
-                self.switch.server_released(server_leg.setup.name, cause_of(message))
+                self.switch.server_released(server_leg.setup.name, release_cause(message))
 
     def _on_hop_lost(self, transactions: list[ServerTransaction]) -> None:
         """Abandon the calls being set up over a lost client connection: their callers cannot be answered."""
--- a/reedmount/fronts/sip_servers.py
+++ b/reedmount/fronts/sip_servers.py
@@ -42,7 +42,7 @@
         self._cancel_outcome: i.Outcome | None = None  # set once the attempt is aborted
         self._cancelled = False
         self._ack: Message | None = None
-        self._fork_tag: str | None = None  # To tag of the UAS whose progress the caller was told
+        self._fork_tag: str | None = None  # To tag of the UAS whose progress was sent to the caller
         self._released_forks: dict[str, Dialog] = {}  # by To tag: further answers (forking)
         self._progress_count = 0
         self._awaiting_record = False  # the 200 is held until the call is recorded
--- a/reedmount/fronts/thin_protocol.py
+++ b/reedmount/fronts/thin_protocol.py
@@ -31,25 +31,25 @@
 OUTCOMES = {503: i.Outcome.FULL, 480: i.Outcome.NOT_SENT, 504: i.Outcome.RESET}
 
 
-def bye(name: str, cause: int) -> bytes:
+def build_bye(name: str, cause: int) -> bytes:
     """A BYE that releases a call."""
     headers = [("Via", "SIP/2.0/TCP reedmount"), ("Call-ID", name), ("CSeq", "2 BYE"),
                ("Reason", f"Q.850;cause={cause}")]  # fmt: skip
     return request("BYE", f"sip:{name}@net", headers).encode()
 
 
-def plain(method: str, uri: str, name: str, via: str = "SIP/2.0/TCP reedmount") -> bytes:
+def build_ack_or_cancel(method: str, uri: str, name: str, via: str = "SIP/2.0/TCP reedmount") -> bytes:
     """A request without further headers: an ACK or a CANCEL."""
     return request(method, uri, [("Via", via), ("Call-ID", name), ("CSeq", f"1 {method}")]).encode()
 
 
-def test() -> bytes:
+def build_options_probe() -> bytes:
     """An OPTIONS request that probes the connection."""
     headers = [("Via", "SIP/2.0/TCP reedmount"), ("Call-ID", PROBE_ID), ("CSeq", "1 OPTIONS")]
     return request("OPTIONS", "sip:ping@net", headers).encode()
 
 
-def cause_of(message: Message) -> int:
+def release_cause(message: Message) -> int:
     """The cause in the Reason header of a release; without one, that of a normal end."""
     for part in (message.get("Reason") or "").split(";"):
         key, _, value = part.partition("=")
@@ -59,7 +59,7 @@
     return NORMAL
 
 
-def report_of(message: Message) -> i.LoadReport:
+def load_report(message: Message) -> i.LoadReport:
     """The load report in a server's message; a malformed one is counted and ignored."""
     text = message.get("X-Occupancy")
     if not text:
@@ -72,7 +72,7 @@
         return NO_REPORT
 
 
-def sound(description: bytes) -> bool:
+def is_valid_description(description: bytes) -> bool:
     """Whether a description consists of complete lines of text, as a corrupt or truncated one does not."""
     if not description:
         return True
@@ -128,7 +128,7 @@
         raise SipError(400, f"X-Legs: a call of the class cannot go to {dest}")
     bounded(legs, "width", 1, 1, MAX_WIDTH)
     bounded(legs, "via", -1, -1, MAX_PLACE)
-    if not sound(message.body):
+    if not is_valid_description(message.body):
         raise SipError(400, "the description does not consist of lines of text")
     return Offer(
         name=name_of(message),
--- a/reedmount/members/knowledge.py
+++ b/reedmount/members/knowledge.py
@@ -7,8 +7,9 @@
 Observations of one server are combined by their medians over different observers, so that of three no single
 one decides: neither one that lies nor one whose view is stale. With fewer than ``MIN_OBSERVERS``, nothing is
 derived that would send more load to a server. If observations disagree on whether a server may be used, the
-safer one wins for a bounded time: a drain, a removal or a start that anyone saw recently holds back new work
-until our own list has had time to confirm it or not.
+safer one wins for a bounded time: a drain or a removal that any member saw recently holds back new work until
+our own list has had time to confirm it or not. A start holds back no work; the
+latest start that any member saw counts as the server's.
 """
 
 from __future__ import annotations
--- a/reedmount/members/record.py
+++ b/reedmount/members/record.py
@@ -18,7 +18,7 @@
 UINT32_MAX = 2**32 - 1  # incarnations, boot, voter set and build ids have 32 bits
 BUCKETS = 32  # of names, in the digest of a view
 
-Word = Annotated[int, Meta(ge=0, le=UINT32_MAX)]
+Uint32 = Annotated[int, Meta(ge=0, le=UINT32_MAX)]
 
 
 class State(IntEnum):
@@ -36,12 +36,12 @@
     name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
     host: Annotated[bytes, Meta(min_length=4, max_length=16)]  # an IPv4 or IPv6 address
     port: Annotated[int, Meta(ge=1, le=65535)]
-    incarnation: Word  # raised only by the member itself
-    boot_id: Word  # random, drawn by each process at its start
+    incarnation: Uint32  # raised only by the member itself
+    boot_id: Uint32  # random, drawn by each process at its start
     state: State
-    voters_id: Word = 0  # the id of the voter set that it uses
+    voters_id: Uint32 = 0  # the id of the voter set that it uses
     zone: Annotated[str, Meta(max_length=MAX_ZONE)] = ""
-    build: Word = 0  # identifies its program and settings
+    build: Uint32 = 0  # identifies its program and settings
     by: Annotated[str, Meta(max_length=MAX_NAME)] = ""  # of a suspicion: the accuser; not part of the claim
 
     @property
--- a/reedmount/members/wire.py
+++ b/reedmount/members/wire.py
@@ -19,7 +19,7 @@
 from msgspec import Meta
 
 from reedmount.members.knowledge import Observation
-from reedmount.members.record import BUCKETS, MAX_NAME, UINT32_MAX, Record, Word
+from reedmount.members.record import BUCKETS, MAX_NAME, UINT32_MAX, Record, Uint32
 
 MAX_DATAGRAM = 256  # bytes; a longer datagram invalidates a run on the platform
 MAGIC = b"RM"
@@ -58,7 +58,7 @@
     """The contents of one datagram."""
 
     kind: Annotated[int, Meta(ge=0, le=255)]
-    seq: Word
+    seq: Uint32
     sender: Record
     digest: Annotated[bytes, Meta(min_length=8, max_length=8)]  # of the sender's view
     target: Annotated[str, Meta(max_length=MAX_NAME)] = ""
--- a/reedmount/node.py
+++ b/reedmount/node.py
@@ -58,21 +58,21 @@
         servers = CallServers(loop, node.switch, limits, server_sockets)
         node.switch.attach(servers)
         pool = BoardList(node.switch)
-        found = request_listener(config.handover, config.listen) if config.handover is not None else None
-        if found is not None:
+        inherited = request_listener(config.handover, config.listen) if config.handover is not None else None
+        if inherited is not None:
             node._lifecycle.require(Need.LIST_UPDATE)  # the other process received the updates until now
         pool.start(config.known_revision, config.known)
-        listener_socket, predecessor = found or (None, None)
+        listener_socket, predecessor = inherited or (None, None)
         callers = node._callers = Callers(
-            loop, node.switch, config.listen, room_for_callers(config), listener_socket, config.sockets
+            loop, node.switch, config.listen, max_caller_connections(config), listener_socket, config.sockets
         )
-        servers.has_untold_release = callers.has_untold_release
+        servers.has_unsent_release = callers.has_unsent_release
         node.on_end(lambda: node._schedule_end(servers))
         if predecessor is not None:
             node._take_over_from(callers, predecessor)
         node.open_admin_server(config.control)
         node.startup_line = f"{config.name} serves at {format_address(callers.address)}"
-        on_update = (lambda: node._lifecycle.satisfy(Need.LIST_UPDATE)) if found is not None else None
+        on_update = (lambda: node._lifecycle.satisfy(Need.LIST_UPDATE)) if inherited is not None else None
         board = Board(loop, config.board, pool, on_update)
         if config.handover is not None:
             node._wait_for_successor(callers, config.handover)
@@ -83,7 +83,7 @@
             node.update_settings(config.settings)
             limits.connect_wait, limits.idle_wait = config.connect_wait, config.idle_wait
             limits.max_connections = config.sockets // 2
-            callers.max_connections, callers.descriptors = room_for_callers(config), config.sockets
+            callers.max_connections, callers.descriptors = max_caller_connections(config), config.sockets
             pool.take(config.known_revision, config.known)
             if config.board != old.board:
                 board.move(config.board)
@@ -222,7 +222,7 @@
             )
 
     def _is_done(self) -> bool:
-        """Whether nothing is left to do, or no time is left."""
+        """Whether nothing is pending, or the deadline has passed."""
         shutdown = self._lifecycle.shutdown
         if shutdown is not None and shutdown.is_past_deadline(self._loop.clock.now()):
             return True
@@ -230,11 +230,13 @@
             return self.switch.is_idle
         if shutdown is None or shutdown.kill_at is None:
             return self.switch.is_idle and self._callers.is_idle
-        left = self.switch.unanswered or not self._callers.all_clients_gone
-        return not left and (self.switch.is_idle or shutdown.closes_all_connections(self._loop.clock.now()))
+        pending = self.switch.unanswered or not self._callers.all_clients_disconnected
+        return not pending and (
+            self.switch.is_idle or shutdown.closes_all_connections(self._loop.clock.now())
+        )
 
 
-def room_for_callers(config: Platform) -> int:
+def max_caller_connections(config: Platform) -> int:
     """The number of sockets for connections of callers."""
     server_sockets = min(SERVER_SOCKETS, config.sockets // 4)
     return (
--- a/reedmount/operate.py
+++ b/reedmount/operate.py
@@ -113,9 +113,9 @@
             self._master.reload(zone, config.updates.policy)
 
     def _open_board(self, address: Address) -> None:
-        listed = BoardList(BoardSource(self.host))
-        listed.start(0, [])
-        self._board = Board(self._loop, address, listed)
+        board_list = BoardList(BoardSource(self.host))
+        board_list.start(0, [])
+        self._board = Board(self._loop, address, board_list)
 
     def _apply_board(self, address: Address | None) -> None:
         if address is None:
@@ -169,12 +169,12 @@
 
     def reload_config() -> None:
         nonlocal config
-        fresh = read()
+        new_config = read()
         try:
-            sources.update_settings(fresh)
+            sources.update_settings(new_config)
         except ZoneError as error:
             raise ConfigError(str(error)) from None
-        old, config = config, fresh
+        old, config = config, new_config
         node.update_settings(_shared_settings(config.settings, membership))
         front.settings = config.sip
         listeners = [
@@ -192,7 +192,7 @@
 
 
 def _open_membership(loop: Loop, node: Node, config: OperatorConfig) -> Membership | None:
-    """Join the group, if the file names one; the shutdown is announced, and need not be detected."""
+    """Join the group, if the file names one; the shutdown is announced, so that no member need detect it."""
     if config.members is None:
         return None
     from reedmount.peers.membership import Membership
@@ -232,7 +232,7 @@
         except (OSError, StoreError) as error:
             raise ConfigError(f"replicas.folder: {error}") from None
         log(f"the store has {len(store)} records; gaps {len(opened.gaps)}, torn {opened.torn} bytes")
-        make_writer = partial(_writer, loop, store, disk, settings.sync)
+        make_writer = partial(_build_writer, loop, store, disk, settings.sync)
     replication = Replication(
         loop,
         membership,
@@ -247,19 +247,19 @@
     return replication, CallRecords(loop, node.switch, front, replication, members.name, settings.keep_for)
 
 
-def _writer(
+def _build_writer(
     loop: Loop, store: Log, disk: Disk, sync: bool,
-    durable: Callable[[int], None], trouble: Callable[[bool], None],
+    on_durable: Callable[[int], None], on_failing_changed: Callable[[bool], None],
 ) -> Writer:  # fmt: skip
     from reedmount.store.writer import Writer
 
-    return Writer(loop, store, disk, sync, durable, trouble)
+    return Writer(loop, store, disk, sync, on_durable, on_failing_changed)
 
 
 def _open_member_reports(
     host: PoolHost, membership: Membership | None, config: OperatorConfig
 ) -> MemberReports | None:
-    """Exchange reports of call servers with the members, and hold back servers that others saw leave."""
+    """Exchange reports of call servers with the members, and hold back those seen draining or removed."""
     if membership is None or config.members is None or not config.members.max_report_hold:
         return None
     from reedmount.sources.member_reports import MemberReports
--- a/reedmount/peers/replication.py
+++ b/reedmount/peers/replication.py
@@ -2,7 +2,7 @@
 membership view.
 
 Whoever serves calls records them with ``hold``, and is called back when the record is durable, or that it
-was not in time. ``ReplicationUser`` is told of calls taken over from another member and of calls lost to
+was not in time. ``ReplicationUser`` is notified of calls taken over from another member and of calls lost to
 one.
 """
 
--- a/reedmount/pool/claims.py
+++ b/reedmount/pool/claims.py
@@ -17,7 +17,7 @@
     STALE = "stale"  # its lifetime has expired, the limit for keeping it has not
     EXPIRED = "expired"  # the limit for keeping it has passed as well
     DRAINING = "draining"
-    GONE = "gone"  # reported as gone, or missing from a complete, valid answer
+    GONE = "gone"  # reported as removed, or missing from a complete, valid answer
 
 
 LEAVING = frozenset((ClaimState.DRAINING, ClaimState.GONE))
--- a/reedmount/pool/pool.py
+++ b/reedmount/pool/pool.py
@@ -16,7 +16,7 @@
 from reedmount.pool.source import Part, Source
 
 MAX_SERVERS = 4096
-MAX_TOMBSTONES = 4096  # of servers reported as gone
+MAX_TOMBSTONES = 4096  # of servers reported as removed
 FIRST_ANSWER_WINDOW = timedelta(seconds=1)  # a list may arrive in several pieces
 SLICE = 16  # servers processed in one turn of the event loop
 VOUCHED_RULES = (Rule.SERVING, Rule.KEPT, Rule.HEARSAY)
@@ -89,7 +89,9 @@
         self.entries: dict[Endpoint, Entry] = {}
         self.expiry_policy, self.forget_after = expiry_policy, forget_after
         self.default_rank, self.transport = default_rank, transport  # where no source gives them
-        self._tombstones: dict[Endpoint, datetime] = {}  # gone and no longer named: since when, oldest first
+        self._tombstones: dict[
+            Endpoint, datetime
+        ] = {}  # removed and no longer named: since when, oldest first
         self._startup_until = now + startup_window
         self._numbers: dict[int, Endpoint] = {}
         self._vouched_count = 0  # entries that serve, held back or not, other than as a last resort
@@ -108,7 +110,7 @@
         fresh_for: timedelta | None = None,
         keep_for: timedelta | None = None,
     ) -> Iterator[Slice]:
-        """Apply a complete, valid answer: servers missing from it are gone. Yields each slice, leaving first.
+        """Apply a complete, valid answer: servers missing from it are removed. Yields slices, leaving first.
 
         Other updates may be applied between slices. Newer ones of the same part take precedence, and a newer
         complete answer ends this one.
--- a/reedmount/pool/source.py
+++ b/reedmount/pool/source.py
@@ -81,7 +81,7 @@
         part.failure = reason
 
     def omitted(self, name: str, named: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return the servers of this part, not yet gone, that a complete answer does not contain."""
+        """Return the servers of this part, not yet removed, that a complete answer does not contain."""
         present = set(named)
         return [
             endpoint
@@ -94,7 +94,7 @@
     def add_claim(self, now: datetime, name: str, claim: Claim, sequence: int) -> None:
         """Store a claim, unless a newer update of the part was applied while this one waited.
 
-        A report that an older process drains or is gone does not apply to the one that has its address now.
+        A report that an older process drains or was removed does not apply to the one now at its address.
         """
         by_part = self.statements.setdefault(claim.endpoint, {})
         previous = by_part.get(name)
@@ -105,7 +105,7 @@
         by_part[name] = Statement(claim, now, sequence)
 
     def record_omission(self, now: datetime, name: str, endpoint: Endpoint, sequence: int) -> None:
-        """Mark a server as gone because a complete answer does not contain it."""
+        """Mark a server as removed because a complete answer does not contain it."""
         previous = self.statements.get(endpoint, {}).get(name)
         if previous is None or previous.sequence > sequence:
             return
@@ -127,7 +127,7 @@
         return ClaimState.GONE
 
     def current_statement(self, endpoint: Endpoint) -> Statement | None:
-        """Return the statement on how to reach the server: that of the oldest part where it is not gone."""
+        """Return how to reach the server: the statement of the oldest part where it is not removed."""
         by_part = self.statements.get(endpoint) or {}
         for name in self.parts:
             statement = by_part.get(name)
--- a/reedmount/replicas/failover.py
+++ b/reedmount/replicas/failover.py
@@ -24,7 +24,7 @@
     seconds=2
 )  # per preceding holder, for missing promises and for durability after a takeover
 PREPARE_RETRY = timedelta(milliseconds=500)
-# A writer heard from within this time is alive, even if the membership view lags.
+# A writer that sent a message within this time is alive, even if the membership view lags.
 WRITER_QUIET_TIME = timedelta(milliseconds=1500)
 
 
--- a/reedmount/replicas/messages.py
+++ b/reedmount/replicas/messages.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta
 
-from reedmount.members.record import MAX_NAME, Word
+from reedmount.members.record import MAX_NAME, Uint32
 
 MAX_KEY = 120  # bytes of a call's key
 MAX_DATA = 16_384  # bytes of data per call
@@ -46,7 +46,7 @@
     previous one."""
 
     owner: Name
-    boot_id: Word
+    boot_id: Uint32
     epoch: Annotated[int, Meta(ge=0, le=2**31)] = 0
 
 
@@ -56,7 +56,7 @@
 
     number: Annotated[int, Meta(ge=1, le=2**31)]
     member: Name
-    boot_id: Word
+    boot_id: Uint32
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -80,8 +80,8 @@
     """Identifies the sender; the first message in each direction."""
 
     name: Name
-    boot_id: Word
-    group: Word
+    boot_id: Uint32
+    group: Uint32
 
 
 class Append(msgspec.Struct, frozen=True, array_like=True, tag=1):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,7 +14,7 @@
 from reedmount.core.shutdown import Shutdown
 from reedmount.fronts.admin import ADMIN_SOCKETS, MAX_ADMIN_CONNECTIONS, AdminServer
 from reedmount.net.loop import READ
-from reedmount.node import SERVER_SOCKETS, room_for_callers
+from reedmount.node import SERVER_SOCKETS, max_caller_connections
 from tests.scenario import HOST
 from tests.test_config import platform
 from tests.test_platform import ESTABLISH, SETUP, Platform
@@ -208,8 +208,8 @@
     """With half the limit, clients and connections to servers took all descriptors."""
     for sockets in (64, 128, 192, 1024):
         limits = {"sockets": sockets}
-        without = room_for_callers(platform(tmp_path, limits=limits))
-        with_admin = room_for_callers(platform(tmp_path, limits=limits, control=f"{HOST}:9800"))
+        without = max_caller_connections(platform(tmp_path, limits=limits))
+        with_admin = max_caller_connections(platform(tmp_path, limits=limits, control=f"{HOST}:9800"))
         assert without - with_admin == ADMIN_SOCKETS and with_admin >= sockets // 4
         assert without + min(SERVER_SOCKETS, sockets // 4) < sockets
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -149,7 +149,7 @@
 def test_a_release_that_cannot_be_delivered_any_more_is_not_confirmed() -> None:
     """It was confirmed without a connected client, so its server did not repeat it to the next process."""
     stage = Platform("server")
-    stage.call_servers.has_untold_release = stage.callers.has_untold_release
+    stage.call_servers.has_unsent_release = stage.callers.has_unsent_release
     stage.play(ESTABLISH + "caller close\n wait 10")
     begin_shutdown(stage)
     stage.play("server send BYE c1 reason=Q.850;cause=16\n wait 100\n server expect nothing")
