--- a/reedmount/members/suspicion.py
+++ b/reedmount/members/suspicion.py
@@ -1,46 +1,52 @@
-"""How long a member may stay suspected: Lifeguard's timeout, shorter the more members suspect it too."""
+"""Lifeguard's suspicion timeout, which shrinks with the number of members that confirm the suspicion."""
 
 from __future__ import annotations
 
 import math
 from datetime import datetime, timedelta
 
-from reedmount.members.timer_queue import Due
+from reedmount.members.timer_queue import ScheduledTask
 
 
 class Suspicion:
-    """One suspicion of one incarnation, as one member sees it.
+    """A suspicion of one incarnation of a member.
 
-    It begins with the longest span, since a suspicion that nobody shares may be our own fault, and comes
-    down to the shortest with ``wanted`` others that say the same. Where nobody else could confirm, it
-    starts at the shortest.
+    It starts with the longest span, since a suspicion that no one shares may be our own fault, and shrinks to
+    the shortest with ``confirmations`` other accusers. If no other member could confirm it, it starts with
+    the shortest.
     """
 
     def __init__(
-        self, began: datetime, least: timedelta, most: timedelta, wanted: int, by: str, others: int
+        self,
+        started_at: datetime,
+        shortest: timedelta,
+        longest: timedelta,
+        confirmations: int,
+        accuser: str,
+        others: int,
     ) -> None:
-        self.began, self._least, self._most = began, least, most
-        self._wanted = min(wanted, max(0, others - 1))
-        self._by = {by}
-        self.asked = 0  # how often we asked the member itself, its end being near
-        self.due: Due | None = None  # the next look at it
-
-    def confirmed(self, by: str) -> bool:
-        """Another member says the same; whether that is news that others need (the first few are)."""
-        if by in self._by or not by or len(self._by) > self._wanted:
+        self.started_at, self._shortest, self._longest = started_at, shortest, longest
+        self._confirmations = min(confirmations, max(0, others - 1))
+        self._accusers = {accuser}
+        self.final_checks = 0  # pings sent to the member near the end
+        self.timer: ScheduledTask | None = None  # the next check
+
+    def confirm(self, accuser: str) -> bool:
+        """Count another accuser; returns whether to gossip it: the first few ones are."""
+        if accuser in self._accusers or not accuser or len(self._accusers) > self._confirmations:
             return False
-        self._by.add(by)
+        self._accusers.add(accuser)
         return True
 
     def extend(self, span: timedelta) -> None:
-        """We were away for that long: it had no chance to be refuted to us, nor to answer us."""
-        self.began += span
-        self.asked = 0
+        """Extend it after a stall, in which neither a refutation nor an answer could reach us."""
+        self.started_at += span
+        self.final_checks = 0
 
     @property
     def ends_at(self) -> datetime:
-        """When it is taken for dead, as things stand."""
-        if self._wanted < 1:
-            return self.began + self._least
-        share = math.log(len(self._by)) / math.log(self._wanted + 1)
-        return self.began + max(self._least, self._most - (self._most - self._least) * share)
+        """When the member is declared dead, given the current confirmations."""
+        if self._confirmations < 1:
+            return self.started_at + self._shortest
+        share = math.log(len(self._accusers)) / math.log(self._confirmations + 1)
+        return self.started_at + max(self._shortest, self._longest - (self._longest - self._shortest) * share)
--- a/reedmount/members/timer_queue.py
+++ b/reedmount/members/timer_queue.py
@@ -1,4 +1,4 @@
-"""What is due when, inside a state machine without I/O: a heap that its owner asks for the next instant."""
+"""Timers of a state machine without I/O: a heap whose owner asks for the next instant."""
 
 from __future__ import annotations
 
@@ -6,48 +6,48 @@
 from collections.abc import Callable
 from datetime import datetime
 
-Work = Callable[[datetime], None]
+Callback = Callable[[datetime], None]
 
 
-class Due:
-    """One piece of work at an instant, unless it is cancelled before."""
+class ScheduledTask:
+    """A callback scheduled for an instant, unless it is cancelled before."""
 
-    __slots__ = ("at", "cancelled", "order", "work")
+    __slots__ = ("at", "cancelled", "order", "callback")
 
-    def __init__(self, at: datetime, order: int, work: Work) -> None:
-        self.at, self.order, self.work, self.cancelled = at, order, work, False
+    def __init__(self, at: datetime, order: int, callback: Callback) -> None:
+        self.at, self.order, self.callback, self.cancelled = at, order, callback, False
 
-    def __lt__(self, other: Due) -> bool:
-        """The earlier first; of one instant, the one set first."""
+    def __lt__(self, other: ScheduledTask) -> bool:
+        """Orders by instant, then by the order of scheduling."""
         return (self.at, self.order) < (other.at, other.order)
 
     def cancel(self) -> None:
-        """Don't do it."""
+        """Prevent the callback from running."""
         self.cancelled = True
 
 
-class Dues:
-    """All that is due. Work that is due sets new work; ``run`` does what has come by then."""
+class TimerQueue:
+    """Scheduled tasks, run by ``run``; callbacks may schedule further ones."""
 
     def __init__(self) -> None:
-        self._heap: list[Due] = []
+        self._heap: list[ScheduledTask] = []
         self._order = 0
 
-    def at(self, instant: datetime, work: Work) -> Due:
-        """Do it then."""
+    def schedule(self, instant: datetime, callback: Callback) -> ScheduledTask:
+        """Schedule a callback for an instant."""
         self._order += 1
-        due = Due(instant, self._order, work)
-        heapq.heappush(self._heap, due)
-        return due
+        task = ScheduledTask(instant, self._order, callback)
+        heapq.heappush(self._heap, task)
+        return task
 
     @property
     def next_at(self) -> datetime | None:
-        """When the first is due; None where there is none."""
+        """The instant of the first task; None without tasks."""
         while self._heap and self._heap[0].cancelled:
             heapq.heappop(self._heap)
         return self._heap[0].at if self._heap else None
 
     def run(self, now: datetime) -> None:
-        """Do what is due."""
+        """Run all tasks that are due."""
         while (at := self.next_at) is not None and at <= now:
-            heapq.heappop(self._heap).work(now)
+            heapq.heappop(self._heap).callback(now)
