--- a/reedmount/control.py
+++ b/reedmount/control.py
@@ -1,6 +1,6 @@
 """Every decision of a reedmount border controller. Its types, events and actions: reedmount/interface.py.
 
-The order is: tuned values, the state kept of each call and each server, then the controller.
+The order is: constants, the state kept of each call and each server, then the controller.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from reedmount import interface as i
 
-# Tuned values. Times derive from the site's resend gap wherever it has one.
+# Times derive from the site's resend gap wherever it has one.
 HIGH_MARK = 0.8  # of the resend gap: a wait above it raises the flag before most repeats are sent
 LOW_MARK = 0.5  # of the high mark: a recent reading above it keeps the flag up
 DEFAULT_RESEND_GAP_US = 500_000  # in place of the resend gap where set-ups are never repeated
